--- a/testing/simulator/src/index.ts
+++ b/testing/simulator/src/index.ts
@@ -1,3 +1,8 @@
+export * from './digest/digest.js';
+export * from './digest/digestCase.js';
+export * from './digest/digestCases.js';
+export * from './digest/digestDifferences.js';
+export * from './digest/digestResult.js';
 export * from './guards/controlGuards.js';
 export * from './guards/guard.js';
 export * from './guards/guards.js';
@@ -9,6 +14,7 @@
 export * from './history/checkers.js';
 export * from './history/complaint.js';
 export * from './history/happening.js';
+export * from './history/historyDigest.js';
 export * from './history/itemStartChecker.js';
 export * from './history/judge.js';
 export * from './history/lotCheckers.js';
--- a/testing/simulator/src/main.ts
+++ b/testing/simulator/src/main.ts
@@ -5,6 +5,7 @@
 import meow from 'meow';
 import { errorLine, FindingsError, seededRandom } from '@pewterlanding/runtime';
 import type { Finding } from '@pewterlanding/runtime';
+import { digest } from './digest/digest.js';
 import { guards } from './guards/guards.js';
 import { runGuards } from './guards/runGuards.js';
 import { verdictLine } from './history/verdictLine.js';
@@ -30,6 +31,7 @@
     $ pewtersim sim                     simulated days in virtual time, one for each seed
     $ pewtersim campaign                many simulated days over all deployments; counts by rule and by kind of trouble
     $ pewtersim scenario NAME           one failure brought about in virtual time, for each seed
+    $ pewtersim digest                  fixed-seed histories, each as a digest that renaming fields and strings leaves as it is
     $ pewtersim guards [NAME,...]       takes guards out of a copy of the built tree: red without, green with
     $ pewtersim scale                   counts of messages against the number of fronts and of waiting items
     $ pewtersim slopes                  what a process of each role holds and works, each at five sizes (node --expose-gc)
@@ -50,12 +52,13 @@
     --running N     hollow: replicas at which a front has tasks, others each beat (0)
     --controllers N      hollow: controller machines (3)
     --losses        hollow: also racks, zones, the tree's top and regions are lost
+    --compare FILE  digest: a recorded list, to name the cases that differ
     --json          scenario: verdicts for programs
     --ci            guards: only those that CI runs
     --trace         sim, scenario: every change of state, with its virtual time
 
   Exit codes
-    0 every rule was kept   1 a rule was broken, a fault did nothing, or a guard was not shown   2 usage
+    0 every rule was kept   1 a rule was broken, a fault did nothing, a guard was not shown, or a digest differs   2 usage
 `,
   {
     importMeta: import.meta,
@@ -73,6 +76,7 @@
       replicas: { type: 'number', default: 6 },
       running: { type: 'number', default: 0 },
       controllers: { type: 'number', default: 3 },
+      compare: { type: 'string' },
       losses: { type: 'boolean', default: false },
       json: { type: 'boolean', default: false },
       ci: { type: 'boolean', default: false },
@@ -81,7 +85,7 @@
   },
 );
 
-const words = ['up', 'run', 'sim', 'campaign', 'scenario', 'guards', 'scale', 'hollow', 'slopes'];
+const words = ['up', 'run', 'sim', 'campaign', 'scenario', 'digest', 'guards', 'scale', 'hollow', 'slopes'];
 const { flags, input } = cli;
 const [word = '', name] = input;
 const data = flags.data ?? join(tmpdir(), `simulator-${process.pid}`);
@@ -183,6 +187,7 @@
   sim,
   campaign: () => campaign({ days: flags.days, seed: flags.seed, say }),
   scenario: () => scenario(name ?? ''),
+  digest: () => digest({ compare: flags.compare, say }),
   guards: takeOut,
   hollow: () =>
     hollow({
--- a/testing/simulator/src/model/runModel.ts
+++ b/testing/simulator/src/model/runModel.ts
@@ -2,6 +2,7 @@
 import { faultCommands } from './faultCommands.js';
 import { ModelCluster } from './modelCluster.js';
 import { orderCommands } from './orderCommands.js';
+import type { RegisterOperation } from './registerOperation.js';
 
 interface RunModelOptions {
   readonly tolerance: 1 | 2;
@@ -12,6 +13,8 @@
   readonly replayPath?: string | undefined;
   readonly mostCommands?: number;
   readonly trace?: ((line: string) => void) | undefined;
+  /** Is given the operators' history of each case at its end. */
+  readonly ended?: (history: readonly RegisterOperation[]) => void;
 }
 
 interface Counts {
@@ -30,7 +33,7 @@
 
 /** Runs cases drawn from a seed. One that fails is made shorter, and thrown with its seed, its path and its commands. */
 export async function runModel(options: RunModelOptions): Promise<Counts> {
-  const { tolerance, seed, cases, path, replayPath, mostCommands = 40, trace } = options;
+  const { tolerance, seed, cases, path, replayPath, mostCommands = 40, trace, ended } = options;
   const counts = { cases: 0, steps: 0, events: 0, orders: 0, answered: 0, worstRecoveryMs: 0 };
   const commands = fc.commands([...orderCommands, ...orderCommands, ...faultCommands], {
     maxCommands: mostCommands,
@@ -45,6 +48,7 @@
       await cluster.finish();
     } finally {
       const { history } = cluster.operators;
+      ended?.(history);
       counts.cases += 1;
       counts.steps += cluster.steps;
       counts.events += cluster.time.events;
