--- a/examples/embed/src/main.ts
+++ b/examples/embed/src/main.ts
@@ -5,7 +5,7 @@
 
 const folder = await mkdtemp(join(tmpdir(), 'embed-'));
 const seeds = [1, 2, 3].map((number) => `127.0.99.${number}:7000`);
-const nodes = seeds.map((seed, place) => new TallyNode(`node-${place + 1}`, seed, seeds, join(folder, String(place))));
+const nodes = seeds.map((seed, position) => new TallyNode(`node-${position + 1}`, seed, seeds, join(folder, String(position))));
 const wait = (waitMs: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, waitMs));
 const owner = async (): Promise<TallyNode> => {
   for (;;) {
--- a/examples/embed/src/tallyNode.ts
+++ b/examples/embed/src/tallyNode.ts
@@ -1,8 +1,9 @@
 import { bootstrapGroup, ShardHost } from '@pewterlanding/consensus';
 import type { Member } from '@pewterlanding/consensus';
 import { Membership } from '@pewterlanding/membership';
-import { Address, Counters, NodeDisk, NodeName, quietLog, SystemClock, TcpWire, ZoneName } from '@pewterlanding/runtime';
-import { Purse, takeBoth } from '@pewterlanding/rate-limit';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
+import { Counters, NodeDisk, quietLog, SystemClock, TcpTransport } from '@pewterlanding/runtime';
+import { LocalAllowance, takeBoth } from '@pewterlanding/rate-limit';
 import * as v from 'valibot';
 import { Tally } from './tally.js';
 
@@ -15,10 +16,10 @@
   readonly membership: Membership;
   readonly tally = new Tally();
   readonly #clock = new SystemClock();
-  readonly #wire: TcpWire;
+  readonly #transport: TcpTransport;
   readonly #host: ShardHost;
   readonly #seeds: readonly Address[];
-  readonly #purse: Purse;
+  readonly #allowance: LocalAllowance;
   #member: Member<Add, number> | undefined;
 
   constructor(name: string, listen: string, seeds: readonly string[], folder: string) {
@@ -26,22 +27,22 @@
     const counters = new Counters();
     const here = v.parse(Address, listen);
     this.#seeds = seeds.map((seed) => v.parse(Address, seed));
-    this.#wire = new TcpWire({ here, listen: here, fleet: 'embed', clock, counters });
-    const card = { name: v.parse(NodeName, name), role: 'store' as const, zone: v.parse(ZoneName, 'here'), address: here };
+    this.#transport = new TcpTransport({ here, listen: here, fleet: 'embed', clock, counters });
+    const nodeRecord = { name: v.parse(NodeName, name), role: 'store' as const, zone: v.parse(ZoneName, 'here'), address: here };
     this.membership = new Membership({
-      card,
+      nodeRecord,
       seeds: this.#seeds,
       clock,
-      wire: this.#wire,
+      transport: this.#transport,
       bounds: { heartbeatMs: failureTimeoutMs / 4, failureTimeoutMs, watchers: 2 },
       counters,
       log: quietLog,
     });
     this.#host = new ShardHost({
-      name: card.name,
+      name: nodeRecord.name,
       address: here,
       clock,
-      wire: this.#wire,
+      transport: this.#transport,
       disk: new NodeDisk(folder),
       bounds: { failureTimeoutMs, compactBytes: 1 << 20 },
       counters,
@@ -51,7 +52,7 @@
       },
     });
     // Ten writes at once and ten a second after that, of any size.
-    this.#purse = new Purse(
+    this.#allowance = new LocalAllowance(
       { requests: 10, tokens: 1000 },
       { requests: 600, tokens: 60_000 },
       { requests: 10, tokens: 1000 },
@@ -60,11 +61,11 @@
   }
 
   async start(): Promise<void> {
-    await this.#wire.listen();
+    await this.#transport.listen();
     const options = {
       shard,
       host: this.#host,
-      wire: this.#wire,
+      transport: this.#transport,
       clock: this.#clock,
       counters: new Counters(),
       seeds: this.#seeds,
@@ -80,7 +81,7 @@
 
   /** The new sum, or how long to wait. Only the leader writes. */
   async add(id: string, name: string, by: number): Promise<{ readonly sum: number } | { readonly retryAfterMs: number }> {
-    const taken = takeBoth([this.#purse], { requests: 1, tokens: 1 }, this.#clock.nowMs());
+    const taken = takeBoth([this.#allowance], { requests: 1, tokens: 1 }, this.#clock.nowMs());
     if (!taken.ok) return { retryAfterMs: taken.retryAfterMs };
     if (this.#member === undefined) throw new Error('not started');
     return { sum: await this.#member.propose(id, { name, by }) };
@@ -95,6 +96,6 @@
   close(): void {
     this.membership.close();
     this.#host.close();
-    this.#wire.close();
+    this.#transport.close();
   }
 }
--- a/examples/embed/test/embed.test.ts
+++ b/examples/embed/test/embed.test.ts
@@ -17,7 +17,7 @@
 it('the embedded parts find each other, keep a tally over the loss of its owner, and limit writers', async () => {
   const folder = await mkdtemp(join(tmpdir(), 'embed-'));
   const seeds = (await Promise.all([freePort(), freePort(), freePort()])).map((port) => `127.0.0.1:${port}`);
-  const nodes = seeds.map((seed, place) => new TallyNode(`node-${place}`, seed, seeds, join(folder, String(place))));
+  const nodes = seeds.map((seed, position) => new TallyNode(`node-${position}`, seed, seeds, join(folder, String(position))));
   const owner = async (): Promise<TallyNode> => {
     for (;;) {
       const found = nodes.find((node) => node.isLeader);
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election/election.ts
@@ -1,12 +1,12 @@
 import type * as v from 'valibot';
-import { consensusCalls } from './consensusCalls.js';
-import type { Entry } from './entry.js';
-import type { MemberState } from './memberState.js';
-import type { GroupMember } from './groupMember.js';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import type { Entry } from '../log/entry.js';
+import type { MemberState } from '../state/memberState.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 const fetchEntries = 256;
 
-type PreVote = v.InferOutput<typeof consensusCalls.preVote.back>;
+type PreVote = v.InferOutput<typeof consensusCalls.preVote.response>;
 
 interface Vote {
   readonly groupMember: GroupMember;
@@ -46,13 +46,13 @@
   /** Asks a member to take over from this one. */
   offer(groupMember: GroupMember, term: number): void {
     const { options } = this.#state;
-    options.wire
+    options.transport
       .ask(groupMember.identity.address, consensusCalls.transfer, { ...this.#to(groupMember), term }, options.bounds.failureTimeoutMs)
       .catch(() => options.counters.add('consensus.offerFailed'));
   }
 
   async #try(transfer: boolean): Promise<void> {
-    const views = await this.#preVote(transfer, this.#state.options.bounds.failureTimeoutMs, (back) => back.unreachable);
+    const views = await this.#preVote(transfer, this.#state.options.bounds.failureTimeoutMs, (response) => response.unreachable);
     // One member's deafness must not unseat a leader whom the others hear.
     if (views.filter(({ unreachable }) => unreachable).length + 1 < this.#state.majority()) return;
     await this.#requestVotes(views);
@@ -69,11 +69,11 @@
     await this.#requestVotes(views);
   }
 
-  async #preVote(transfer: boolean, waitMs: number, agrees: (back: PreVote) => boolean): Promise<readonly PreVote[]> {
+  async #preVote(transfer: boolean, waitMs: number, agrees: (response: PreVote) => boolean): Promise<readonly PreVote[]> {
     const { options, currentTerm: term } = this.#state;
     const ask = (groupMember: GroupMember): Promise<PreVote> =>
-      options.wire.ask(groupMember.identity.address, consensusCalls.preVote, { ...this.#to(groupMember), term, transfer }, waitMs);
-    return (await this.#askAll(this.#others(), ask, agrees)).map(({ back }) => back);
+      options.transport.ask(groupMember.identity.address, consensusCalls.preVote, { ...this.#to(groupMember), term, transfer }, waitMs);
+    return (await this.#askAll(this.#others(), ask, agrees)).map(({ response }) => response);
   }
 
   #others(): readonly GroupMember[] {
@@ -93,18 +93,18 @@
     if (!kept) return;
     const answers = await this.#askAll(
       this.#others(),
-      (groupMember) => options.wire.ask(groupMember.identity.address, consensusCalls.vote, { ...this.#to(groupMember), term }, waitMs),
-      (back) => back.granted,
+      (groupMember) => options.transport.ask(groupMember.identity.address, consensusCalls.vote, { ...this.#to(groupMember), term }, waitMs),
+      (response) => response.granted,
     );
     const currentTerm: Vote[] = answers
-      .filter((answer) => answer.back.granted)
-      .map((answer) => ({ groupMember: answer.groupMember, last: answer.back.last }));
+      .filter((answer) => answer.response.granted)
+      .map((answer) => ({ groupMember: answer.groupMember, last: answer.response.last }));
     if (currentTerm.length + 1 < this.#state.majority()) return;
     if (!(await this.#adoptBestLog(term, currentTerm))) return;
     // The adopted log may have brought a newer group: the votes must be a majority of that one too.
     const voters = new Set([options.self.memberId, ...currentTerm.map((one) => one.groupMember.identity.memberId)]);
     const votes = this.#state.voters().filter((groupMember) => voters.has(groupMember.identity.memberId)).length;
-    if (this.#state.place() >= 0 && votes >= this.#state.majority()) this.#won(term);
+    if (this.#state.position() >= 0 && votes >= this.#state.majority()) this.#won(term);
   }
 
   /** Makes the best log among the voters this one's own, synced. */
@@ -136,14 +136,14 @@
     const { options, committed } = this.#state;
     const entries: Entry[] = [];
     while (committed + entries.length < best.last.index) {
-      const back = await options.wire.ask(
+      const response = await options.transport.ask(
         best.groupMember.identity.address,
         consensusCalls.fetch,
-        { ...this.#to(best.groupMember), term, after: committed + entries.length, most: fetchEntries },
+        { ...this.#to(best.groupMember), term, after: committed + entries.length, limit: fetchEntries },
         options.bounds.failureTimeoutMs * 2,
       );
-      if (!back.ok || back.entries.length === 0) return undefined;
-      entries.push(...back.entries);
+      if (!response.ok || response.entries.length === 0) return undefined;
+      entries.push(...response.entries);
     }
     return entries;
   }
@@ -156,19 +156,19 @@
   #askAll<B>(
     group: readonly GroupMember[],
     ask: (groupMember: GroupMember) => Promise<B>,
-    agrees: (back: B) => boolean,
-  ): Promise<readonly { readonly groupMember: GroupMember; readonly back: B }[]> {
+    agrees: (response: B) => boolean,
+  ): Promise<readonly { readonly groupMember: GroupMember; readonly response: B }[]> {
     return new Promise((resolve) => {
-      const answers: { readonly groupMember: GroupMember; readonly back: B }[] = [];
+      const answers: { readonly groupMember: GroupMember; readonly response: B }[] = [];
       let waiting = group.length;
       const look = (): void => {
-        const enough = answers.filter(({ back }) => agrees(back)).length + 1 >= this.#state.majority();
+        const enough = answers.filter(({ response }) => agrees(response)).length + 1 >= this.#state.majority();
         if (waiting === 0 || enough) resolve([...answers]);
       };
       for (const groupMember of group)
         ask(groupMember)
           .then(
-            (back) => answers.push({ groupMember, back }),
+            (response) => answers.push({ groupMember, response }),
             () => undefined,
           )
           .finally(() => {
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/election/follower.ts
@@ -1,6 +1,6 @@
-import type { GroupMember } from './groupMember.js';
+import type { GroupMember } from '../group/groupMember.js';
 
-const mostEntries = 256;
+const maxEntries = 256;
 
 /** What a leader knows of another member. */
 export class Follower {
@@ -19,7 +19,7 @@
   /** Its machine answered that it is not this member: it has another member id now, or has not opened the shard yet. */
   refused = false;
   /** Entries in one batch at the most: fewer after a failure, which a frame too large for the wire may have been. */
-  most = mostEntries;
+  limit = maxEntries;
 
   constructor(
     public groupMember: GroupMember,
@@ -32,10 +32,10 @@
   }
 
   sent(): void {
-    this.most = mostEntries;
+    this.limit = maxEntries;
   }
 
   failed(): void {
-    this.most = Math.max(1, this.most >> 1);
+    this.limit = Math.max(1, this.limit >> 1);
   }
 }
--- a/packages/consensus/src/followerView.ts
+++ b/packages/consensus/src/election/followerView.ts
@@ -1,4 +1,4 @@
-import type { GroupMember } from './groupMember.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 /** What a leader knows of another member, for changes of the group and for operators. */
 export interface FollowerView {
--- a/packages/consensus/src/leadership.ts
+++ b/packages/consensus/src/election/leadership.ts
@@ -1,14 +1,14 @@
-import { WireError } from '@pewterlanding/runtime';
-import { consensusCalls } from './consensusCalls.js';
-import type { Entry } from './entry.js';
+import { TransportError } from '@pewterlanding/runtime';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import type { Entry } from '../log/entry.js';
 import { Follower } from './follower.js';
-import type { MemberState } from './memberState.js';
-import type { GroupMember } from './groupMember.js';
-import { SnapshotSender } from './snapshotSender.js';
-import { UnknownOutcomeError } from './unknownOutcomeError.js';
+import type { MemberState } from '../state/memberState.js';
+import type { GroupMember } from '../group/groupMember.js';
+import { SnapshotSender } from '../snapshot/snapshotSender.js';
+import { UnknownOutcomeError } from '../protocol/unknownOutcomeError.js';
 
 interface Waiter<R> {
-  readonly take: (back: R | undefined) => void;
+  readonly take: (result: R | undefined) => void;
   readonly fail: (error: Error) => void;
 }
 
@@ -44,7 +44,7 @@
     this.#snapshots = new SnapshotSender(state, term);
     state.pinnedIndex = () => this.#snapshots.pinnedIndex;
     this.#refreshFollowers();
-    void this.#append({ t: 'open' })
+    void this.#append({ kind: 'open' })
       .then(on.opened)
       .catch(() => undefined);
   }
@@ -63,11 +63,11 @@
   }
 
   command(id: string, command: C): Promise<R | undefined> {
-    return this.#append({ t: 'command', id, command });
+    return this.#append({ kind: 'command', id, command });
   }
 
   async changeGroup(group: readonly GroupMember[]): Promise<void> {
-    await this.#append({ t: 'group', group: [...group] });
+    await this.#append({ kind: 'group', group: [...group] });
   }
 
   /** Resolves once a majority has answered a round that began after this call: nobody else can have taken over before it. */
@@ -109,16 +109,16 @@
     this.#confirming = [];
   }
 
-  #append(what: Entry['what']): Promise<R | undefined> {
+  #append(payload: Entry['payload']): Promise<R | undefined> {
     return new Promise((take, fail) => {
       if (this.#over) {
         fail(new UnknownOutcomeError('the term is over'));
         return;
       }
       const index = this.#state.log.lastIndex;
-      this.#state.log.write(index, [{ term: this.term, what }], this.#state.committed);
+      this.#state.log.write(index, [{ term: this.term, payload }], this.#state.committed);
       this.#waiters.set(index + 1, { take, fail });
-      if (what.t === 'group') this.#refreshFollowers();
+      if (payload.kind === 'group') this.#refreshFollowers();
       this.#syncLog();
       this.heartbeat();
     });
@@ -179,10 +179,10 @@
     const index = this.#majorityOf((follower) => follower.match, this.#synced) ?? 0;
     // Records of older terms count only under one of this term.
     if (index <= this.#state.committed || this.#state.log.termAt(index) !== this.term) return;
-    this.#state.commitTo(index, (place, _entry, back) => {
-      const waiter = this.#waiters.get(place);
-      this.#waiters.delete(place);
-      waiter?.take(back);
+    this.#state.commitTo(index, (position, _entry, result) => {
+      const waiter = this.#waiters.get(position);
+      this.#waiters.delete(position);
+      waiter?.take(result);
     });
     if (!this.#state.group().some((groupMember) => groupMember.identity.memberId === this.#state.self.memberId))
       this.#ended('this member left the group');
@@ -210,7 +210,7 @@
         this.#state.options.counters.add('consensus.feedFailed');
         // Nothing but a refusal tells at once that another member id sits at the old address.
         if (
-          error instanceof WireError &&
+          error instanceof TransportError &&
           error.reason === 'refused' &&
           this.#followers.get(follower.groupMember.identity.memberId) === follower
         ) {
@@ -233,9 +233,9 @@
     const round = this.#round;
     if (follower.next <= log.base.index || this.#snapshots.isSending(follower)) return this.#sendSnapshot(follower);
     const previous = follower.next - 1;
-    const entries = log.after(previous, follower.most);
+    const entries = log.after(previous, follower.limit);
     const lastIndex = log.lastIndex;
-    const back = await options.wire.ask(
+    const result = await options.transport.ask(
       follower.groupMember.identity.address,
       consensusCalls.append,
       {
@@ -250,13 +250,13 @@
       },
       options.bounds.failureTimeoutMs * 2,
     );
-    if (!this.#recordReply(follower, back.term)) return false;
+    if (!this.#recordReply(follower, result.term)) return false;
     follower.sent();
     follower.round = Math.max(follower.round, round);
-    follower.syncMs = back.syncMs;
-    if (!back.ok) {
+    follower.syncMs = result.syncMs;
+    if (!result.ok) {
       // Its last index is either short of what was sent, or committed there and so in this log too.
-      follower.next = Math.min(back.last, log.lastIndex) + 1;
+      follower.next = Math.min(result.last, log.lastIndex) + 1;
       this.#settleRounds();
       return true;
     }
--- a/packages/consensus/src/transferTarget.ts
+++ b/packages/consensus/src/election/transferTarget.ts
@@ -1,6 +1,6 @@
 import type { Follower } from './follower.js';
 import type { Leadership } from './leadership.js';
-import type { MemberState } from './memberState.js';
+import type { MemberState } from '../state/memberState.js';
 
 /** A disk whose syncs take more of a failure timeout than this is slow. */
 const slowDiskRatio = 1 / 2;
@@ -14,12 +14,12 @@
   const { failureTimeoutMs } = state.options.bounds;
   const nowMs = state.clock.nowMs();
   const order = state.voters().map((groupMember) => groupMember.identity.memberId);
-  const own = state.place();
+  const own = state.position();
   const syncing = state.syncingSinceMs;
   const slow = state.syncMs > failureTimeoutMs * slowDiskRatio || (syncing !== undefined && nowMs - syncing > failureTimeoutMs);
   return leadership.followers().find((follower) => {
-    const place = order.indexOf(follower.groupMember.identity.memberId);
-    if (place < 0 || !(slow || place < own)) return false;
+    const position = order.indexOf(follower.groupMember.identity.memberId);
+    if (position < 0 || !(slow || position < own)) return false;
     if (nowMs - follower.heardMs >= failureTimeoutMs) return false;
     if (nowMs - follower.steadySinceMs <= failureTimeoutMs * steadyTimeouts) return false;
     return follower.match === leadership.lastIndex && follower.syncMs < failureTimeoutMs * fitDiskRatio;
--- a/packages/consensus/src/deduplicationTable.ts
+++ b/packages/consensus/src/log/deduplicationTable.ts
@@ -1,10 +1,10 @@
 /** Commands that had their effect, so that one sent again has none. The bound is counted in commands: all members forget alike. */
 export class DeduplicationTable {
-  readonly #most: number;
+  readonly #limit: number;
   readonly #returns = new Map<string, unknown>();
 
-  constructor(most: number) {
-    this.#most = most;
+  constructor(limit: number) {
+    this.#limit = limit;
   }
 
   has(id: string): boolean {
@@ -15,9 +15,9 @@
     return this.#returns.get(id);
   }
 
-  put(id: string, back: unknown): void {
-    this.#returns.set(id, back);
-    if (this.#returns.size <= this.#most) return;
+  put(id: string, result: unknown): void {
+    this.#returns.set(id, result);
+    if (this.#returns.size <= this.#limit) return;
     const oldest = this.#returns.keys().next();
     if (oldest.done !== true) this.#returns.delete(oldest.value);
   }
@@ -28,6 +28,6 @@
 
   restore(all: readonly (readonly [string, unknown])[]): void {
     this.#returns.clear();
-    for (const [id, back] of all) this.#returns.set(id, back);
+    for (const [id, result] of all) this.#returns.set(id, result);
   }
 }
--- /dev/null
+++ b/packages/consensus/src/log/entry.ts
@@ -0,0 +1,14 @@
+import * as v from 'valibot';
+import { Count } from '@pewterlanding/model';
+import { GroupMember } from '../group/groupMember.js';
+
+/** One record of the log. */
+export const Entry = v.strictObject({
+  term: Count,
+  payload: v.variant('kind', [
+    v.strictObject({ kind: v.literal('open') }),
+    v.strictObject({ kind: v.literal('group'), group: v.array(GroupMember) }),
+    v.strictObject({ kind: v.literal('command'), id: v.string(), command: v.unknown() }),
+  ]),
+});
+export type Entry = v.InferOutput<typeof Entry>;
--- a/packages/consensus/src/entryLog.ts
+++ b/packages/consensus/src/log/entryLog.ts
@@ -1,6 +1,6 @@
-import type { Snapshot } from './snapshot.js';
+import type { Snapshot } from '../snapshot/snapshot.js';
 import type { Entry } from './entry.js';
-import type { GroupMember } from './groupMember.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 interface Position {
   readonly term: number;
@@ -47,21 +47,21 @@
     return index <= this.#base.index ? undefined : this.#entries[index - this.#base.index - 1];
   }
 
-  after(index: number, most: number): readonly Entry[] {
+  after(index: number, limit: number): readonly Entry[] {
     const start = index - this.#base.index;
-    return start < 0 ? [] : this.#entries.slice(start, start + most);
+    return start < 0 ? [] : this.#entries.slice(start, start + limit);
   }
 
   /** Writes entries behind `index`, cutting what conflicts. Returns the index from which something changed, if anything did. */
   write(index: number, entries: readonly Entry[], committed: number): number | undefined {
     for (let step = 0; step < entries.length; step += 1) {
       const entry = entries[step];
-      const place = index + step + 1;
-      if (entry === undefined || place <= this.#snapshot.index || this.termAt(place) === entry.term) continue;
-      if (place <= committed) throw new Error(`a committed record at ${place} would be cut`);
-      this.#entries.length = place - this.#base.index - 1;
+      const position = index + step + 1;
+      if (entry === undefined || position <= this.#snapshot.index || this.termAt(position) === entry.term) continue;
+      if (position <= committed) throw new Error(`a committed record at ${position} would be cut`);
+      this.#entries.length = position - this.#base.index - 1;
       this.#entries.push(...entries.slice(step));
-      return place;
+      return position;
     }
     return undefined;
   }
@@ -97,8 +97,8 @@
   /** Where the newest group record stands, if it is not in the snapshot. */
   groupRecord(): { readonly index: number; readonly group: readonly GroupMember[] } | undefined {
     for (let index = this.lastIndex; index > this.#snapshot.index; index -= 1) {
-      const what = this.at(index)?.what;
-      if (what?.t === 'group') return { index, group: what.group };
+      const payload = this.at(index)?.payload;
+      if (payload?.kind === 'group') return { index, group: payload.group };
     }
     return undefined;
   }
--- a/packages/consensus/src/shardFile.ts
+++ b/packages/consensus/src/log/shardFile.ts
@@ -1,18 +1,19 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 import type { Journal } from '@pewterlanding/runtime';
-import { Snapshot } from './snapshot.js';
+import { Snapshot } from '../snapshot/snapshot.js';
 import { Entry } from './entry.js';
 import { EntryLog } from './entryLog.js';
-import type { GroupMember } from './groupMember.js';
+import type { GroupMember } from '../group/groupMember.js';
+import { logFileFormat1 } from './logFileFormat1.js';
 
-const LogFileRecord = v.variant('t', [
-  v.strictObject({ t: v.literal('vote'), term: Count }),
-  v.strictObject({ t: v.literal('entries'), term: Count, index: Count, entries: v.array(Entry) }),
-  v.strictObject({ t: v.literal('snapshot'), term: Count, snapshot: Snapshot }),
+const LogFileRecord = v.variant('kind', [
+  v.strictObject({ kind: v.literal('vote'), term: Count }),
+  v.strictObject({ kind: v.literal('entries'), term: Count, index: Count, entries: v.array(Entry) }),
+  v.strictObject({ kind: v.literal('snapshot'), term: Count, snapshot: Snapshot }),
   /** Entries that the snapshot before it holds already, for members that follow by entries. */
   v.strictObject({
-    t: v.literal('tail'),
+    kind: v.literal('tail'),
     term: Count,
     base: v.strictObject({ term: Count, index: Count }),
     entries: v.array(Entry),
@@ -60,33 +61,33 @@
     if (damaged) return { currentTerm: 0, log: new EntryLog(bootstrap), damaged: true };
     // The members of the bootstrap are part of the file, so that a restart needs nobody to repeat them. A snapshot written behind
     // entries would drop those at the next opening.
-    if (!wasAdded(records) && !records.some(({ t }) => t === 'snapshot') && bootstrap.group.length > 0)
-      await this.#append({ t: 'snapshot', term: 0, snapshot: bootstrap });
+    if (!wasAdded(records) && !records.some(({ kind: t }) => t === 'snapshot') && bootstrap.group.length > 0)
+      await this.#append({ kind: 'snapshot', term: 0, snapshot: bootstrap });
     const currentTerm = records.reduce((highest, { term }) => Math.max(highest, term), 0);
     return { currentTerm, log: logOf(records, bootstrap), damaged: false };
   }
 
   async vote(term: number): Promise<void> {
-    await this.#append({ t: 'vote', term });
+    await this.#append({ kind: 'vote', term });
   }
 
   async entries(term: number, index: number, entries: readonly Entry[]): Promise<void> {
-    await this.#append({ t: 'entries', term, index, entries: [...entries] });
+    await this.#append({ kind: 'entries', term, index, entries: [...entries] });
   }
 
   /** Writes the whole file anew from a snapshot, the tail behind it and what stands on it. */
   async rewrite(term: number, log: EntryLog): Promise<void> {
-    const records: LogFileRecord[] = [{ t: 'snapshot', term, snapshot: log.snapshot }];
+    const records: LogFileRecord[] = [{ kind: 'snapshot', term, snapshot: log.snapshot }];
     const tail = log.after(log.base.index, log.snapshot.index - log.base.index);
-    if (tail.length > 0) records.push({ t: 'tail', term, base: log.base, entries: [...tail] });
+    if (tail.length > 0) records.push({ kind: 'tail', term, base: log.base, entries: [...tail] });
     const rest = log.after(log.snapshot.index, Number.MAX_SAFE_INTEGER);
-    if (rest.length > 0) records.push({ t: 'entries', term, index: log.snapshot.index, entries: [...rest] });
+    if (rest.length > 0) records.push({ kind: 'entries', term, index: log.snapshot.index, entries: [...rest] });
     await this.#journal.rewrite(records);
   }
 
   async #read(): Promise<ReadRecords> {
     const { records, damaged } = await this.#journal.open();
-    return { records: damaged ? [] : records.map((raw): LogFileRecord => v.parse(LogFileRecord, raw)), damaged };
+    return { records: damaged ? [] : records.map((raw): LogFileRecord => v.parse(LogFileRecord, logFileFormat1(raw))), damaged };
   }
 
   async #append(kept: LogFileRecord): Promise<void> {
@@ -96,16 +97,16 @@
 
 /** A file that holds records but no snapshot is that of a member which was added: it was bootstrapped on no members. */
 function wasAdded(records: readonly LogFileRecord[]): boolean {
-  return records.some(({ t }) => t === 'entries') && !records.some(({ t }) => t === 'snapshot');
+  return records.some(({ kind: t }) => t === 'entries') && !records.some(({ kind: t }) => t === 'snapshot');
 }
 
 function logOf(records: readonly LogFileRecord[], bootstrap: Snapshot): EntryLog {
   let log = new EntryLog(wasAdded(records) ? { ...bootstrap, group: [] } : bootstrap);
   for (const record of records) {
-    if (record.t === 'snapshot') log = new EntryLog(record.snapshot);
-    else if (record.t === 'tail') log.restoreTail(record.base, record.entries);
+    if (record.kind === 'snapshot') log = new EntryLog(record.snapshot);
+    else if (record.kind === 'tail') log.restoreTail(record.base, record.entries);
     // What a file holds may be cut by what it holds later; commitment is learned anew from the leader.
-    else if (record.t === 'entries') log.write(record.index, record.entries, 0);
+    else if (record.kind === 'entries') log.write(record.index, record.entries, 0);
   }
   return log;
 }
--- a/packages/consensus/src/tailStart.ts
+++ b/packages/consensus/src/log/tailStart.ts
@@ -14,10 +14,10 @@
 /** The index after which entries stay when a snapshot of `index` is made. */
 export function tailStart(log: EntryLog, index: number, { tailBytes, pinnedIndex, pinnedBytes }: TailBounds): number {
   let bytes = 0;
-  for (let place = index; place > log.base.index; place -= 1) {
-    bytes += encoder.encode(log.at(place)).length;
-    const pinned = pinnedIndex !== undefined && place > pinnedIndex && bytes <= pinnedBytes;
-    if (bytes > tailBytes && !pinned) return place;
+  for (let position = index; position > log.base.index; position -= 1) {
+    bytes += encoder.encode(log.at(position)).length;
+    const pinned = pinnedIndex !== undefined && position > pinnedIndex && bytes <= pinnedBytes;
+    if (bytes > tailBytes && !pinned) return position;
   }
   return log.base.index;
 }
--- a/packages/consensus/src/consensusCalls.ts
+++ b/packages/consensus/src/protocol/consensusCalls.ts
@@ -1,10 +1,11 @@
 import * as v from 'valibot';
-import { Count, defineCall, NodeName } from '@pewterlanding/runtime';
-import { Entry } from './entry.js';
-import { Identity } from './identity.js';
+import { Count, NodeName } from '@pewterlanding/model';
+import { defineCall } from '@pewterlanding/runtime';
+import { Entry } from '../log/entry.js';
+import { Identity } from '../group/identity.js';
 import { leaderReply } from './leaderReply.js';
 import { ShardView } from './shardView.js';
-import { GroupMember } from './groupMember.js';
+import { GroupMember } from '../group/groupMember.js';
 
 const to = { shard: v.string(), memberId: v.string(), from: NodeName, term: Count };
 const Last = v.strictObject({ term: Count, index: Count });
@@ -45,7 +46,7 @@
   /** The log after an index, for a candidate that adopts it. */
   fetch: defineCall(
     'consensus.fetch',
-    v.strictObject({ ...to, after: Count, most: Count }),
+    v.strictObject({ ...to, after: Count, limit: Count }),
     v.strictObject({ ok: v.boolean(), entries: v.array(Entry) }),
   ),
   transfer: defineCall('consensus.transfer', v.strictObject(to), v.strictObject({ ok: v.boolean() })),
--- a/packages/consensus/src/leaderFinder.ts
+++ b/packages/consensus/src/protocol/leaderFinder.ts
@@ -1,10 +1,11 @@
-import type { Address, Call, Clock, Wire } from '@pewterlanding/runtime';
-import { pause, WireError } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { Call, Clock, Transport } from '@pewterlanding/runtime';
+import { pause, TransportError } from '@pewterlanding/runtime';
 
 type LeaderReply<T> = { served: true; value: T } | { served: false; leader?: Address | undefined };
 
 interface LeaderFinderOptions {
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   /** The members of a shard, as far as is known. */
   readonly members: (shard: string) => readonly Address[];
@@ -31,7 +32,7 @@
 
   /** `extraMs` is what one try may take longer than others, for what is large or held back. */
   async ask<B, T>(shard: string, call: Call<B, LeaderReply<T>>, body: B, waitMs: number, extraMs = 0, trail?: Trail): Promise<T> {
-    const { clock, wire, tryMs } = this.#options;
+    const { clock, transport, tryMs } = this.#options;
     const expiryMs = clock.nowMs() + waitMs;
     let round = this.#order(shard);
     let hint = this.#leaders.get(shard);
@@ -41,21 +42,21 @@
       hint = undefined;
       const leftMs = expiryMs - clock.nowMs();
       // Less than a millisecond buys no try, and may be too little for time to move at all.
-      if (leftMs < 1) throw new WireError('silent', `${call.name}: no leader of ${shard} in ${waitMs} ms`);
-      const back =
+      if (leftMs < 1) throw new TransportError('silent', `${call.name}: no leader of ${shard} in ${waitMs} ms`);
+      const response =
         to === undefined
           ? undefined
-          : await wire.ask(to, call, body, Math.min(tryMs + extraMs, leftMs)).catch((error: unknown) => only(error, trail));
-      if (to !== undefined && back === undefined) this.#silentMs.set(to, clock.nowMs());
-      if (to !== undefined && back !== undefined) this.#silentMs.delete(to);
-      if (back?.served === true) {
+          : await transport.ask(to, call, body, Math.min(tryMs + extraMs, leftMs)).catch((error: unknown) => only(error, trail));
+      if (to !== undefined && response === undefined) this.#silentMs.set(to, clock.nowMs());
+      if (to !== undefined && response !== undefined) this.#silentMs.delete(to);
+      if (response?.served === true) {
         if (to !== undefined) this.#leaders.set(shard, to);
-        return back.value;
+        return response.value;
       }
       this.#leaders.delete(shard);
       // A hint is followed at once, but not round in circles.
-      if (back !== undefined && back.leader !== undefined && back.leader !== to && hints < 2) {
-        hint = back.leader;
+      if (response !== undefined && response.leader !== undefined && response.leader !== to && hints < 2) {
+        hint = response.leader;
         hints += 1;
         continue;
       }
@@ -78,7 +79,7 @@
 
 /** Silence and lost circuits are tried again; a refusal by the leader itself is the caller's to see. */
 function only(error: unknown, trail: Trail | undefined): undefined {
-  if (trail !== undefined && !(error instanceof WireError && error.reason === 'unsent')) trail.unclear = true;
-  if (error instanceof WireError && error.reason !== 'unreadable') return undefined;
+  if (trail !== undefined && !(error instanceof TransportError && error.reason === 'unsent')) trail.unclear = true;
+  if (error instanceof TransportError && error.reason !== 'unreadable') return undefined;
   throw error;
 }
--- a/packages/consensus/src/leaderReply.ts
+++ b/packages/consensus/src/protocol/leaderReply.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Address } from '@pewterlanding/runtime';
+import { Address } from '@pewterlanding/model';
 
 /** A return that only a shard's leader gives; others say whom they take for the leader. */
 export function leaderReply<T>(
--- a/packages/consensus/src/notLeaderError.ts
+++ b/packages/consensus/src/protocol/notLeaderError.ts
@@ -1,4 +1,4 @@
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 
 /** This member does not own the shard; perhaps it knows who does. Nothing was done. */
 export class NotLeaderError extends Error {
--- a/packages/consensus/src/replyAsLeader.ts
+++ b/packages/consensus/src/protocol/replyAsLeader.ts
@@ -1,4 +1,4 @@
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 import { NotLeaderError } from './notLeaderError.js';
 
 type LeaderReply<T> = { served: true; value: T } | { served: false; leader?: Address | undefined };
--- a/packages/consensus/src/shardView.ts
+++ b/packages/consensus/src/protocol/shardView.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import { Count, NodeName } from '@pewterlanding/runtime';
-import { GroupMember } from './groupMember.js';
+import { Count, NodeName } from '@pewterlanding/model';
+import { GroupMember } from '../group/groupMember.js';
 
 /** A member of a shard as operators read it; only a leader knows who is how far behind. */
 export const ShardView = v.strictObject({
--- a/packages/consensus/src/groupReconciler.ts
+++ b/packages/consensus/src/reconfiguration/groupReconciler.ts
@@ -1,9 +1,10 @@
-import type { Address, Clock, Counters, Log, NodeName, Wire } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { every } from '@pewterlanding/runtime';
-import { consensusCalls } from './consensusCalls.js';
-import type { Identity } from './identity.js';
-import type { Member } from './member.js';
-import type { GroupMember } from './groupMember.js';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import type { Identity } from '../group/identity.js';
+import type { Member } from '../shard/member.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 interface Wanted {
   readonly name: NodeName;
@@ -12,7 +13,7 @@
 
 interface GroupKeeperOptions<C, R> {
   readonly member: Member<C, R>;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly log: Log;
@@ -184,9 +185,9 @@
   }
 
   async #identify(address: Address): Promise<Identity | undefined> {
-    const { wire, member, failureTimeoutMs, counters } = this.#options;
+    const { transport, member, failureTimeoutMs, counters } = this.#options;
     try {
-      return await wire.ask(address, consensusCalls.identify, { shard: member.shard }, failureTimeoutMs);
+      return await transport.ask(address, consensusCalls.identify, { shard: member.shard }, failureTimeoutMs);
     } catch {
       counters.add('consensus.whoUnanswered');
       return undefined;
--- a/packages/consensus/src/hostedShard.ts
+++ b/packages/consensus/src/shard/hostedShard.ts
@@ -1,4 +1,4 @@
-import type { GroupReconciler } from './groupReconciler.js';
+import type { GroupReconciler } from '../reconfiguration/groupReconciler.js';
 import type { Member } from './member.js';
 
 /** A shard as a machine keeps it: what it holds, its member, and who tends its group. */
--- a/packages/consensus/src/member.ts
+++ b/packages/consensus/src/shard/member.ts
@@ -1,23 +1,23 @@
 import type * as v from 'valibot';
-import type { Address } from '@pewterlanding/runtime';
-import { every, pause, WireError } from '@pewterlanding/runtime';
-import { consensusCalls } from './consensusCalls.js';
-import type { Snapshot } from './snapshot.js';
-import { SnapshotReceiver } from './snapshotReceiver.js';
-import { Election } from './election.js';
-import type { FollowerView } from './followerView.js';
-import type { Identity } from './identity.js';
-import type { MemberOptions } from './memberOptions.js';
-import { MemberState } from './memberState.js';
-import { NotLeaderError } from './notLeaderError.js';
-import { Leadership } from './leadership.js';
-import type { ShardView } from './shardView.js';
-import type { GroupMember } from './groupMember.js';
-import { transferTarget } from './transferTarget.js';
-import { UnknownOutcomeError } from './unknownOutcomeError.js';
+import type { Address } from '@pewterlanding/model';
+import { every, pause, TransportError } from '@pewterlanding/runtime';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import type { Snapshot } from '../snapshot/snapshot.js';
+import { SnapshotReceiver } from '../snapshot/snapshotReceiver.js';
+import { Election } from '../election/election.js';
+import type { FollowerView } from '../election/followerView.js';
+import type { Identity } from '../group/identity.js';
+import type { MemberOptions } from '../state/memberOptions.js';
+import { MemberState } from '../state/memberState.js';
+import { NotLeaderError } from '../protocol/notLeaderError.js';
+import { Leadership } from '../election/leadership.js';
+import type { ShardView } from '../protocol/shardView.js';
+import type { GroupMember } from '../group/groupMember.js';
+import { transferTarget } from '../election/transferTarget.js';
+import { UnknownOutcomeError } from '../protocol/unknownOutcomeError.js';
 
 type BodyOf<K extends keyof typeof consensusCalls> = v.InferOutput<(typeof consensusCalls)[K]['body']>;
-type ReplyOf<K extends keyof typeof consensusCalls> = v.InferOutput<(typeof consensusCalls)[K]['back']>;
+type ReplyOf<K extends keyof typeof consensusCalls> = v.InferOutput<(typeof consensusCalls)[K]['response']>;
 
 /** Heartbeats and checks go several times into one failure timeout. */
 const ticksPerTimeout = 5;
@@ -249,11 +249,11 @@
   fetch(body: BodyOf<'fetch'>): ReplyOf<'fetch'> {
     const { log, currentTerm } = this.#state;
     const ok = body.term === currentTerm && body.after >= log.base.index;
-    return { ok, entries: ok ? [...log.after(body.after, body.most)] : [] };
+    return { ok, entries: ok ? [...log.after(body.after, body.limit)] : [] };
   }
 
   transfer(body: BodyOf<'transfer'>): ReplyOf<'transfer'> {
-    const ok = !this.#leaving && body.term === this.#state.currentTerm && this.#leadership === undefined && this.#state.place() >= 0;
+    const ok = !this.#leaving && body.term === this.#state.currentTerm && this.#leadership === undefined && this.#state.position() >= 0;
     if (ok) this.#election.run(true);
     return { ok };
   }
@@ -261,7 +261,7 @@
   /** Whether a voter of that name comes before this one in the order. */
   #comesBefore(name: string): boolean {
     const other = this.#state.voters().findIndex((groupMember) => groupMember.identity.name === name);
-    return other >= 0 && other < this.#state.place();
+    return other >= 0 && other < this.#state.position();
   }
 
   /** Takes the sender as leader unless a later term was voted. */
@@ -333,22 +333,22 @@
   #checkRecentStart(): void {
     const { clock, options, heardMs } = this.#state;
     const { failureTimeoutMs } = options.bounds;
-    const place = this.#state.place();
+    const position = this.#state.position();
     const sinceMs = clock.nowMs() - heardMs;
     // From then on the ordinary turns do.
-    if (!this.#state.recentlyStarted || this.#leaving || this.#closed || place < 0 || sinceMs > failureTimeoutMs) return;
+    if (!this.#state.recentlyStarted || this.#leaving || this.#closed || position < 0 || sinceMs > failureTimeoutMs) return;
     const lookMs = failureTimeoutMs / restartChecksPerTimeout;
-    if (sinceMs >= lookMs * checksPerPlace * place) this.#election.runAfterRestart(lookMs * checksPerPlace);
+    if (sinceMs >= lookMs * checksPerPlace * position) this.#election.runAfterRestart(lookMs * checksPerPlace);
     clock.after(lookMs, () => this.#checkRecentStart());
   }
 
   /** Takes over only in turn: the later the place in the order, the longer the wait. */
   #checkLeader(): void {
-    const place = this.#state.place();
-    if (place < 0 || this.#leaving) return;
+    const position = this.#state.position();
+    if (position < 0 || this.#leaving) return;
     const silentMs = this.#state.clock.nowMs() - this.#state.heardMs;
     const { failureTimeoutMs } = this.#state.options.bounds;
-    if (silentMs > failureTimeoutMs * (1 + place / 2)) this.#election.run(false);
+    if (silentMs > failureTimeoutMs * (1 + position / 2)) this.#election.run(false);
     else if (silentMs > (failureTimeoutMs / ticksPerTimeout) * missedHeartbeats && this.#isSuccessor()) void this.#replaceGoneLeader();
   }
 
@@ -370,11 +370,11 @@
     const { options, leader } = this.#state;
     if (leader === undefined) return false;
     const lost = (): Promise<boolean> =>
-      options.wire
+      options.transport
         .ask(leader.address, consensusCalls.identify, { shard: options.shard }, options.bounds.failureTimeoutMs / ticksPerTimeout)
         .then(
           () => false,
-          (error: unknown) => error instanceof WireError && (error.reason === 'lost' || error.reason === 'unsent'),
+          (error: unknown) => error instanceof TransportError && (error.reason === 'lost' || error.reason === 'unsent'),
         );
     return (await lost()) && (await lost());
   }
--- a/packages/consensus/src/shardEnvironment.ts
+++ b/packages/consensus/src/shard/shardEnvironment.ts
@@ -1,10 +1,10 @@
-import type { Clock, Counters, Disk, Log, Wire } from '@pewterlanding/runtime';
-import type { ConsensusBounds } from './consensusBounds.js';
+import type { Clock, Counters, Disk, Log, Transport } from '@pewterlanding/runtime';
+import type { ConsensusBounds } from '../state/consensusBounds.js';
 
 /** What keeping shards stands on. Time, network and disk come from outside. */
 export interface ShardEnvironment {
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly disk: Disk;
   readonly bounds: ConsensusBounds;
   readonly counters: Counters;
--- a/packages/consensus/src/shardHost.ts
+++ b/packages/consensus/src/shard/shardHost.ts
@@ -1,16 +1,16 @@
 import { randomUUID } from 'node:crypto';
 import * as v from 'valibot';
-import type { Address, NodeName } from '@pewterlanding/runtime';
-import { Journal, WireError } from '@pewterlanding/runtime';
-import { consensusCalls } from './consensusCalls.js';
-import type { Identity } from './identity.js';
-import type { StateMachine } from './stateMachine.js';
+import type { Address, NodeName } from '@pewterlanding/model';
+import { Journal, TransportError } from '@pewterlanding/runtime';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import type { Identity } from '../group/identity.js';
+import type { StateMachine } from '../state/stateMachine.js';
 import { Member } from './member.js';
-import type { MemberOptions } from './memberOptions.js';
-import { replyAsLeader } from './replyAsLeader.js';
+import type { MemberOptions } from '../state/memberOptions.js';
+import { replyAsLeader } from '../protocol/replyAsLeader.js';
 import type { ShardEnvironment } from './shardEnvironment.js';
-import { ShardFile } from './shardFile.js';
-import type { GroupMember } from './groupMember.js';
+import { ShardFile } from '../log/shardFile.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 interface ShardHostOptions extends ShardEnvironment {
   readonly name: NodeName;
@@ -52,24 +52,24 @@
 
   constructor(options: ShardHostOptions) {
     this.#options = options;
-    const { wire } = options;
-    wire.serve(consensusCalls.identify, ({ shard }) => this.identity(shard));
-    wire.serve(consensusCalls.view, async ({ shard }) => {
+    const { transport } = options;
+    transport.serve(consensusCalls.identify, ({ shard }) => this.identity(shard));
+    transport.serve(consensusCalls.view, async ({ shard }) => {
       const member = this.#members.get(shard);
       if (member === undefined) return { served: false };
       return replyAsLeader(async () => {
         await member.confirmLeadership();
         // Whoever asks may give a copy up on this answer: a removal that isn't committed may yet be undone by the next leader.
-        if (!member.groupCommitted) throw new WireError('refused', `${shard}: a group change is under way`);
+        if (!member.groupCommitted) throw new TransportError('refused', `${shard}: a group change is under way`);
         return member.view();
       });
     });
-    wire.serve(consensusCalls.preVote, (body) => this.#member(body).preVote(body));
-    wire.serve(consensusCalls.vote, (body) => this.#member(body).vote(body));
-    wire.serve(consensusCalls.append, (body) => this.#member(body).append(body));
-    wire.serve(consensusCalls.installSnapshot, (body) => this.#member(body).installSnapshot(body));
-    wire.serve(consensusCalls.fetch, async (body) => this.#member(body).fetch(body));
-    wire.serve(consensusCalls.transfer, async (body) => this.#member(body).transfer(body));
+    transport.serve(consensusCalls.preVote, (body) => this.#member(body).preVote(body));
+    transport.serve(consensusCalls.vote, (body) => this.#member(body).vote(body));
+    transport.serve(consensusCalls.append, (body) => this.#member(body).append(body));
+    transport.serve(consensusCalls.installSnapshot, (body) => this.#member(body).installSnapshot(body));
+    transport.serve(consensusCalls.fetch, async (body) => this.#member(body).fetch(body));
+    transport.serve(consensusCalls.transfer, async (body) => this.#member(body).transfer(body));
   }
 
   /** Who this process is in a shard; minted and synced the first time it is asked. */
@@ -104,7 +104,7 @@
     stateMachine: StateMachine<C, R>,
     hooks: Hooks<C, R> = {},
   ): Promise<Member<C, R>> {
-    const { clock, wire, disk, bounds, counters, log, fatal } = this.#options;
+    const { clock, transport, disk, bounds, counters, log, fatal } = this.#options;
     const read = this.#files.get(shard);
     this.#files.delete(shard);
     const build = async (file: ShardFile): Promise<Member<C, R> | 'damaged'> =>
@@ -115,7 +115,7 @@
         bootstrap,
         stateMachine,
         clock,
-        wire,
+        transport,
         disk,
         bounds,
         counters,
@@ -161,7 +161,7 @@
     if (member === undefined || member.self.memberId !== body.memberId) {
       this.#options.counters.add('consensus.turnedAway');
       this.#logRefusal(body);
-      throw new WireError('refused', `${body.shard}: not that member`);
+      throw new TransportError('refused', `${body.shard}: not that member`);
     }
     return member;
   }
--- a/packages/consensus/src/shardMap.ts
+++ b/packages/consensus/src/shard/shardMap.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import { Address, Count, NodeName } from '@pewterlanding/runtime';
-import { GroupMember } from './groupMember.js';
+import { Address, Count, NodeName } from '@pewterlanding/model';
+import { GroupMember } from '../group/groupMember.js';
 
 const Row = v.strictObject({
   /** The members it began with, written once. */
--- a/packages/consensus/src/shardSet.ts
+++ b/packages/consensus/src/shard/shardSet.ts
@@ -1,22 +1,23 @@
-import type { Address, Clock, Counters, Log, NodeName, Wire } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { every } from '@pewterlanding/runtime';
-import { consensusCalls } from './consensusCalls.js';
-import { GroupReconciler } from './groupReconciler.js';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import { GroupReconciler } from '../reconfiguration/groupReconciler.js';
 import type { HostedShard } from './hostedShard.js';
-import type { StateMachine } from './stateMachine.js';
+import type { StateMachine } from '../state/stateMachine.js';
 import type { Member } from './member.js';
-import { NotLeaderError } from './notLeaderError.js';
-import { LeaderFinder } from './leaderFinder.js';
+import { NotLeaderError } from '../protocol/notLeaderError.js';
+import { LeaderFinder } from '../protocol/leaderFinder.js';
 import type { ShardHost } from './shardHost.js';
 import { ShardMap } from './shardMap.js';
-import type { GroupMember } from './groupMember.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 interface ShardSetOptions<C, R, M> {
   /** Which shards of the table are of this kind, by the beginning of their names. */
   readonly prefix: string;
   readonly name: NodeName;
   readonly host: ShardHost;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   readonly failureTimeoutMs: number;
   readonly counters: Counters;
@@ -44,9 +45,9 @@
 
   constructor(options: ShardSetOptions<C, R, M>) {
     this.#options = options;
-    const { wire, clock, failureTimeoutMs, told } = options;
+    const { transport, clock, failureTimeoutMs, told } = options;
     this.#finder = new LeaderFinder({
-      wire,
+      transport,
       clock,
       tryMs: failureTimeoutMs,
       members: (shard) => ShardMap.members(this.#table, shard, told(shard)),
@@ -121,7 +122,7 @@
   }
 
   async #open(shard: string, bootstrap: readonly GroupMember[]): Promise<HostedShard<C, R, M>> {
-    const { host, wire, clock, counters, log, failureTimeoutMs } = this.#options;
+    const { host, transport, clock, counters, log, failureTimeoutMs } = this.#options;
     const stateMachine = this.#options.stateMachine();
     const identity = await host.identity(shard);
     // An empty disk under a founder's name is not that founder: it starts without a member and waits to be added.
@@ -137,7 +138,7 @@
     });
     const wanted = (): ShardMap['shards'][string]['wanted'] | undefined => this.#table.shards[shard]?.wanted;
     const changed = (): void => this.#options.tell(member);
-    const reconciler = new GroupReconciler({ member, wire, clock, counters, log, failureTimeoutMs, wanted, changed });
+    const reconciler = new GroupReconciler({ member, transport, clock, counters, log, failureTimeoutMs, wanted, changed });
     return { stateMachine, member, reconciler };
   }
 
--- a/packages/consensus/src/snapshot.ts
+++ b/packages/consensus/src/snapshot/snapshot.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
-import { GroupMember } from './groupMember.js';
+import { Count } from '@pewterlanding/model';
+import { GroupMember } from '../group/groupMember.js';
 
 /** A snapshot of everything up to `index`, on which the rest of the log stands. */
 export const Snapshot = v.strictObject({
--- a/packages/consensus/src/snapshotSender.ts
+++ b/packages/consensus/src/snapshot/snapshotSender.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import { Encoder } from 'cbor-x';
-import { consensusCalls } from './consensusCalls.js';
-import type { Follower } from './follower.js';
-import type { MemberState } from './memberState.js';
+import { consensusCalls } from '../protocol/consensusCalls.js';
+import type { Follower } from '../election/follower.js';
+import type { MemberState } from '../state/memberState.js';
 import type { Snapshot } from './snapshot.js';
 
 /** Far below what one message may hold, so that heartbeats of other shards on the same connection don't wait long behind it. */
@@ -64,7 +64,7 @@
     this.#transfers.set(memberId, transfer);
     const { encoded, offset } = transfer;
     const { snapshot, bytes, checksum } = encoded;
-    const reply = await options.wire.ask(
+    const reply = await options.transport.ask(
       address,
       consensusCalls.installSnapshot,
       {
--- a/packages/consensus/src/memberOptions.ts
+++ b/packages/consensus/src/state/memberOptions.ts
@@ -1,8 +1,8 @@
-import type { Identity } from './identity.js';
+import type { Identity } from '../group/identity.js';
 import type { StateMachine } from './stateMachine.js';
-import type { ShardFile } from './shardFile.js';
-import type { ShardEnvironment } from './shardEnvironment.js';
-import type { GroupMember } from './groupMember.js';
+import type { ShardFile } from '../log/shardFile.js';
+import type { ShardEnvironment } from '../shard/shardEnvironment.js';
+import type { GroupMember } from '../group/groupMember.js';
 
 /** What a member is made of. */
 export interface MemberOptions<C, R> extends ShardEnvironment {
--- a/packages/consensus/src/memberState.ts
+++ b/packages/consensus/src/state/memberState.ts
@@ -1,13 +1,14 @@
-import type { Address, Clock } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { Clock } from '@pewterlanding/runtime';
 import { SerialQueue } from '@pewterlanding/runtime';
-import type { Entry } from './entry.js';
-import type { EntryLog } from './entryLog.js';
-import type { Identity } from './identity.js';
+import type { Entry } from '../log/entry.js';
+import type { EntryLog } from '../log/entryLog.js';
+import type { Identity } from '../group/identity.js';
 import type { MemberOptions } from './memberOptions.js';
-import type { ShardFile } from './shardFile.js';
-import { DeduplicationTable } from './deduplicationTable.js';
-import type { GroupMember } from './groupMember.js';
-import { tailStart } from './tailStart.js';
+import type { ShardFile } from '../log/shardFile.js';
+import { DeduplicationTable } from '../log/deduplicationTable.js';
+import type { GroupMember } from '../group/groupMember.js';
+import { tailStart } from '../log/tailStart.js';
 
 const rememberedCommands = 4096;
 const rewriteRatio = 2;
@@ -68,7 +69,7 @@
   }
 
   /** This member's place in the order of the group, or -1 without a vote. */
-  place(): number {
+  position(): number {
     return this.voters().findIndex((groupMember) => groupMember.identity.memberId === this.self.memberId);
   }
 
@@ -96,14 +97,14 @@
   }
 
   /** Applies all up to `index`, telling each return. */
-  commitTo(index: number, told: (index: number, entry: Entry, back: R | undefined) => void = () => undefined): void {
+  commitTo(index: number, told: (index: number, entry: Entry, result: R | undefined) => void = () => undefined): void {
     const before = this.committed;
     while (this.committed < Math.min(index, this.log.lastIndex)) {
-      const place = this.committed + 1;
-      const entry = this.log.at(place);
-      if (entry === undefined) throw new Error(`no entry at ${place} in ${this.options.shard}`);
-      this.committed = place;
-      told(place, entry, this.#apply(entry));
+      const position = this.committed + 1;
+      const entry = this.log.at(position);
+      if (entry === undefined) throw new Error(`no entry at ${position} in ${this.options.shard}`);
+      this.committed = position;
+      told(position, entry, this.#apply(entry));
     }
     if (this.committed > before) this.options.applied?.();
   }
@@ -159,13 +160,13 @@
   }
 
   #apply(entry: Entry): R | undefined {
-    if (entry.what.t !== 'command') return undefined;
-    const { id, command } = entry.what;
+    if (entry.payload.kind !== 'command') return undefined;
+    const { id, command } = entry.payload;
     // A command sent twice has one effect and one return.
     if (this.deduplication.has(id)) return this.options.stateMachine.readReturn(this.deduplication.get(id));
-    const back = this.options.stateMachine.apply(this.options.stateMachine.read(command));
-    this.deduplication.put(id, back);
-    return back;
+    const result = this.options.stateMachine.apply(this.options.stateMachine.read(command));
+    this.deduplication.put(id, result);
+    return result;
   }
 
   async #timed(write: () => Promise<void>): Promise<void> {
--- a/packages/consensus/test/shardFile.test.ts
+++ b/packages/consensus/test/shardFile.test.ts
@@ -3,8 +3,8 @@
 import * as v from 'valibot';
 import { Journal } from '@pewterlanding/runtime';
 import type { Disk } from '@pewterlanding/runtime';
-import { ShardFile } from '../src/shardFile.js';
-import { GroupMember } from '../src/groupMember.js';
+import { ShardFile } from '../src/log/shardFile.js';
+import { GroupMember } from '../src/group/groupMember.js';
 
 function memoryDisk(): Disk {
   const files = new Map<string, Uint8Array>();
@@ -26,12 +26,12 @@
     const file = new ShardFile(new Journal(disk, 'p'));
     await file.open({ index: 0, term: 0, group: [], stateMachine: undefined, deduplication: [] });
     await file.entries(1, 0, [
-      { term: 1, what: { t: 'open' } },
-      { term: 1, what: { t: 'group', group } },
+      { term: 1, payload: { kind: 'open' } },
+      { term: 1, payload: { kind: 'group', group } },
     ]);
     for (let starts = 0; starts < 3; starts += 1) {
       const { log } = await open(group);
-      expect([log.lastIndex, log.at(1)?.what.t, log.snapshot.group, log.group()]).toEqual([2, 'open', [], group]);
+      expect([log.lastIndex, log.at(1)?.payload.kind, log.snapshot.group, log.group()]).toEqual([2, 'open', [], group]);
     }
   });
 
@@ -50,7 +50,7 @@
     const written = new ShardFile(new Journal(disk, 'p'));
     await written.open({ ...blank, group });
     await written.vote(3);
-    await written.entries(3, 0, [{ term: 3, what: { t: 'open' } }]);
+    await written.entries(3, 0, [{ term: 3, payload: { kind: 'open' } }]);
     const file = new ShardFile(new Journal(counting, 'p'));
     expect(await file.group()).toEqual(group);
     expect(await file.group()).toEqual(group);
--- a/packages/membership/src/antiEntropy.ts
+++ b/packages/membership/src/anti-entropy/antiEntropy.ts
@@ -1,23 +1,24 @@
-import type { Address, Clock, Counters, NodeName, Wire } from '@pewterlanding/runtime';
-import type { Board } from './board.js';
-import type { Card } from './card.js';
-import type { MembershipBounds } from './membershipBounds.js';
-import { membershipCalls } from './membershipCalls.js';
-import type { News } from './news.js';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Transport } from '@pewterlanding/runtime';
+import type { StateTable } from '../state-table/stateTable.js';
+import type { NodeRecord } from '../state-table/nodeRecord.js';
+import type { MembershipBounds } from '../protocol/membershipBounds.js';
+import { membershipCalls } from '../protocol/membershipCalls.js';
+import type { Update } from '../state-table/update.js';
 
 interface AntiEntropyOptions {
   readonly self: NodeName;
   /** A later settings file changes this very list. */
   readonly seeds: readonly Address[];
-  readonly board: Board;
+  readonly stateTable: StateTable;
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly bounds: MembershipBounds;
   readonly counters: Counters;
   /** Cards of nodes that are thought gone. */
-  readonly gone: () => readonly Card[];
+  readonly gone: () => readonly NodeRecord[];
   /** What another board held newer; `first` in the first comparison that brought anything. */
-  readonly take: (newer: readonly News[], first: boolean) => void;
+  readonly take: (newer: readonly Update[], first: boolean) => void;
 }
 
 /** Compares this board with others', so that what the relay tree missed is made up for. */
@@ -31,10 +32,10 @@
 
   constructor(options: AntiEntropyOptions) {
     this.#options = options;
-    const { wire, board } = options;
-    wire.serve(membershipCalls.digest, async ({ digest }) => ({ differing: [...board.differing(digest)] }));
-    wire.serve(membershipCalls.compare, async (body) => {
-      const { newer, wanted } = board.compare(body.buckets, body.versions);
+    const { transport, stateTable } = options;
+    transport.serve(membershipCalls.digest, async ({ digest }) => ({ differing: [...stateTable.differing(digest)] }));
+    transport.serve(membershipCalls.compare, async (body) => {
+      const { newer, wanted } = stateTable.compare(body.buckets, body.versions);
       return { newer: [...newer], wanted: [...wanted] };
     });
   }
@@ -47,7 +48,7 @@
   /** Another board's checksum was heard. What differs may be on its way: while news keeps coming, boards differ at every beat. */
   async heard(checksum: number, address: Address): Promise<void> {
     const now = this.#options.clock.nowMs();
-    if (checksum === this.#options.board.checksum || now - this.#comparedMs < this.#options.bounds.failureTimeoutMs) return;
+    if (checksum === this.#options.stateTable.checksum || now - this.#comparedMs < this.#options.bounds.failureTimeoutMs) return;
     this.#comparedMs = now;
     await this.compareWith(address);
   }
@@ -55,18 +56,19 @@
   /** Compares with a seed, and with one node thought gone: that is how two halves of a cut find each other again. */
   async seek(): Promise<void> {
     this.#rounds += 1;
-    const { wire } = this.#options;
+    const { transport } = this.#options;
     const seeds = [...this.#options.seeds, ...this.#met];
     const away = this.#options.gone();
     const seed = seeds[this.#rounds % seeds.length];
     const lost = away[this.#rounds % Math.max(1, away.length)];
-    const targets = [seed, lost?.address].flatMap((address) => (address === undefined || address === wire.here ? [] : [address]));
+    const targets = [seed, lost?.address].flatMap((address) => (address === undefined || address === transport.here ? [] : [address]));
     await Promise.all(targets.map((address) => this.compareWith(address)));
   }
 
   /** Asks at every address known, but where it still hangs from before; for who is alone. */
   seekAll(): void {
-    for (const address of [...this.#options.seeds, ...this.#met]) if (address !== this.#options.wire.here) void this.compareWith(address);
+    for (const address of [...this.#options.seeds, ...this.#met])
+      if (address !== this.#options.transport.here) void this.compareWith(address);
   }
 
   /** Both boards end with the newer of each. */
@@ -84,17 +86,17 @@
   }
 
   async #compare(address: Address): Promise<void> {
-    const { self, board, wire, bounds, counters, take } = this.#options;
+    const { self, stateTable, transport, bounds, counters, take } = this.#options;
     counters.add('membership.digests');
-    const { differing } = await wire.ask(address, membershipCalls.digest, { digest: [...board.digest] }, bounds.failureTimeoutMs);
+    const { differing } = await transport.ask(address, membershipCalls.digest, { digest: [...stateTable.digest] }, bounds.failureTimeoutMs);
     if (differing.length === 0) return;
     counters.add('membership.compared');
-    const body = { from: wire.here, buckets: differing, versions: board.versions(differing) };
-    const back = await wire.ask(address, membershipCalls.compare, body, bounds.failureTimeoutMs);
-    const wanted = back.wanted.flatMap((key) => board.get(key) ?? []);
-    if (wanted.length > 0) wire.tell(address, membershipCalls.news, { from: self, news: wanted });
+    const body = { from: transport.here, buckets: differing, versions: stateTable.versions(differing) };
+    const response = await transport.ask(address, membershipCalls.compare, body, bounds.failureTimeoutMs);
+    const wanted = response.wanted.flatMap((key) => stateTable.get(key) ?? []);
+    if (wanted.length > 0) transport.tell(address, membershipCalls.update, { from: self, updates: wanted });
     const first = !this.#joined;
-    take(back.newer, first);
+    take(response.newer, first);
     this.#joined = true;
   }
 }
--- a/packages/membership/src/gathering.ts
+++ b/packages/membership/src/broadcast/updateBatcher.ts
@@ -1,8 +1,9 @@
-import type { Clock, NodeName } from '@pewterlanding/runtime';
-import type { News } from './news.js';
+import type { NodeName } from '@pewterlanding/model';
+import type { Clock } from '@pewterlanding/runtime';
+import type { Update } from '../state-table/update.js';
 
 interface Gathered {
-  readonly news: News;
+  readonly update: Update;
   readonly from: NodeName;
 }
 
@@ -18,7 +19,7 @@
  * News on their way along the tree. The first go at once; those that follow wait for each other, or a burst would cost
  * a message each on every link. In a large fleet something always follows: then one message goes in every wait.
  */
-export class Gathering {
+export class UpdateBatcher {
   readonly #options: GatheringOptions;
   #all: Gathered[] = [];
   #dueMs = Number.NEGATIVE_INFINITY;
@@ -32,7 +33,7 @@
     this.#all.push(...all);
     const { clock, lastingMs } = this.#options;
     if (this.#cancel === undefined) this.flush();
-    else if (all.some(({ news }) => !news.volatile) && this.#dueMs > clock.nowMs() + lastingMs) this.#wait(lastingMs);
+    else if (all.some(({ update }) => !update.volatile) && this.#dueMs > clock.nowMs() + lastingMs) this.#wait(lastingMs);
   }
 
   flush(): void {
@@ -42,10 +43,10 @@
     this.#cancel = undefined;
     if (all.length === 0) return;
     const { lastingMs, volatileMs, send } = this.#options;
-    this.#wait(all.every(({ news }) => news.volatile) ? volatileMs() : lastingMs);
-    const newest = new Map(all.map((one) => [one.news.key, one]));
+    this.#wait(all.every(({ update }) => update.volatile) ? volatileMs() : lastingMs);
+    const newest = new Map(all.map((one) => [one.update.key, one]));
     // Of each key only the newest goes on, unless that is a change, which needs the version that it starts at.
-    send(all.filter((one) => newest.get(one.news.key) === one || newest.get(one.news.key)?.news.change !== undefined));
+    send(all.filter((one) => newest.get(one.update.key) === one || newest.get(one.update.key)?.update.change !== undefined));
   }
 
   close(): void {
--- a/packages/membership/src/failureDetector.ts
+++ b/packages/membership/src/failure-detector/failureDetector.ts
@@ -1,19 +1,20 @@
-import type { Address, Clock, NodeName, Wire } from '@pewterlanding/runtime';
-import type { Card } from './card.js';
-import type { MembershipBounds } from './membershipBounds.js';
-import { membershipCalls } from './membershipCalls.js';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Transport } from '@pewterlanding/runtime';
+import type { NodeRecord } from '../state-table/nodeRecord.js';
+import type { MembershipBounds } from '../protocol/membershipBounds.js';
+import { membershipCalls } from '../protocol/membershipCalls.js';
 
 interface FailureDetectorOptions {
   readonly self: NodeName;
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly bounds: MembershipBounds;
   /** The card of a node that is live. */
-  readonly card: (name: NodeName) => Card | undefined;
+  readonly nodeRecord: (name: NodeName) => NodeRecord | undefined;
   /** Those who watch a node. */
   readonly watchers: (name: NodeName) => readonly NodeName[];
   /** Nobody hears that node; called unless its card changed while others were asked. */
-  readonly gone: (card: Card) => void;
+  readonly gone: (nodeRecord: NodeRecord) => void;
 }
 
 /** Watches a few other nodes by their heartbeats. Silence is taken for an end only once no other watcher hears the silent one either. */
@@ -24,9 +25,9 @@
 
   constructor(options: FailureDetectorOptions) {
     this.#options = options;
-    const { wire } = options;
-    wire.serve(membershipCalls.ping, async () => ({}));
-    wire.serve(membershipCalls.pingFor, async ({ address }) => ({ heard: await this.#pings(address) }));
+    const { transport } = options;
+    transport.serve(membershipCalls.ping, async () => ({}));
+    transport.serve(membershipCalls.pingFor, async ({ address }) => ({ heard: await this.#pings(address) }));
   }
 
   /** Watches these from now on. A new one gets a whole timeout before it is doubted. */
@@ -47,8 +48,8 @@
   }
 
   async #doubt(name: NodeName): Promise<void> {
-    const { self, clock, card, watchers, gone } = this.#options;
-    const silent = card(name);
+    const { self, clock, nodeRecord, watchers, gone } = this.#options;
+    const silent = nodeRecord(name);
     if (silent === undefined || this.#doubted.has(name)) return;
     this.#doubted.add(name);
     try {
@@ -56,23 +57,23 @@
       const asked = [this.#pings(silent.address), ...others.map((other) => this.#pingsThrough(other, silent.address))];
       const heard = await Promise.all(asked);
       if (heard.some((one) => one)) this.#heardMs.set(name, clock.nowMs());
-      else if (card(name) === silent) gone(silent);
+      else if (nodeRecord(name) === silent) gone(silent);
     } finally {
       this.#doubted.delete(name);
     }
   }
 
   async #pings(address: Address): Promise<boolean> {
-    return this.#options.wire.ask(address, membershipCalls.ping, {}, this.#options.bounds.heartbeatMs).then(
+    return this.#options.transport.ask(address, membershipCalls.ping, {}, this.#options.bounds.heartbeatMs).then(
       () => true,
       () => false,
     );
   }
 
   async #pingsThrough(other: NodeName, address: Address): Promise<boolean> {
-    const card = this.#options.card(other);
-    if (card === undefined) return false;
-    return this.#options.wire.ask(card.address, membershipCalls.pingFor, { address }, this.#options.bounds.heartbeatMs * 2).then(
+    const nodeRecord = this.#options.nodeRecord(other);
+    if (nodeRecord === undefined) return false;
+    return this.#options.transport.ask(nodeRecord.address, membershipCalls.pingFor, { address }, this.#options.bounds.heartbeatMs * 2).then(
       ({ heard }) => heard,
       () => false,
     );
--- a/packages/membership/src/ring.ts
+++ b/packages/membership/src/failure-detector/ring.ts
@@ -1,4 +1,4 @@
-import type { NodePlaces } from './nodePlaces.js';
+import type { NodePlaces } from '../nodePlaces.js';
 
 /** All nodes on a ring by hash of the name: each is watched by its next few. */
 export class Ring<N extends string> {
@@ -8,7 +8,7 @@
 
   constructor(names: readonly N[], few: number, places: NodePlaces) {
     this.#ring = [...names].sort((a, b) => places.ring(a) - places.ring(b) || (a < b ? -1 : 1));
-    this.#at = new Map(this.#ring.map((name, place) => [name, place]));
+    this.#at = new Map(this.#ring.map((name, position) => [name, position]));
     this.#few = Math.min(few, names.length - 1);
   }
 
@@ -26,7 +26,7 @@
     if (at === undefined) return [];
     const size = this.#ring.length;
     return Array.from({ length: this.#few }, (_, step) => (at + way * (step + 1) + size) % size).flatMap(
-      (place) => this.#ring[place] ?? [],
+      (position) => this.#ring[position] ?? [],
     );
   }
 }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,25 +1,27 @@
-import type { Address, Clock, Counters, Log, NodeName, Wire } from '@pewterlanding/runtime';
-import { every, mergeChange } from '@pewterlanding/runtime';
-import { AntiEntropy } from './antiEntropy.js';
-import { Board } from './board.js';
-import type { Card } from './card.js';
-import { cardOf } from './cardOf.js';
-import { FailureDetector } from './failureDetector.js';
-import { isNewer } from './isNewer.js';
-import { membershipCalls } from './membershipCalls.js';
-import type { MembershipBounds } from './membershipBounds.js';
-import { Gathering } from './gathering.js';
-import type { News } from './news.js';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
+import { mergePatchBetween } from '@pewterlanding/model';
+import { every } from '@pewterlanding/runtime';
+import { AntiEntropy } from './anti-entropy/antiEntropy.js';
+import { StateTable } from './state-table/stateTable.js';
+import type { NodeRecord } from './state-table/nodeRecord.js';
+import { nodeRecordOf } from './state-table/nodeRecordOf.js';
+import { FailureDetector } from './failure-detector/failureDetector.js';
+import { isNewer } from './state-table/isNewer.js';
+import { membershipCalls } from './protocol/membershipCalls.js';
+import type { MembershipBounds } from './protocol/membershipBounds.js';
+import { UpdateBatcher } from './broadcast/updateBatcher.js';
+import type { Update } from './state-table/update.js';
 import { NodePlaces } from './nodePlaces.js';
-import { Relays } from './relays.js';
-import { Ring } from './ring.js';
-import type { Version } from './version.js';
+import { Broadcaster } from './broadcast/broadcaster.js';
+import { Ring } from './failure-detector/ring.js';
+import type { Version } from './state-table/version.js';
 
 interface MembershipOptions {
-  readonly card: Omit<Card, 'state'>;
+  readonly nodeRecord: Omit<NodeRecord, 'state'>;
   readonly seeds: readonly Address[];
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly bounds: MembershipBounds;
   readonly counters: Counters;
   readonly log: Log;
@@ -28,7 +30,7 @@
 const prefix = 'node/';
 /** News that follow others within this part of a beat go on together; volatile ones within a longer part where nodes are many. */
 const gatherRatio = 1 / 16;
-const mostGatherRatio = 1 / 4;
+const maxGatherRatio = 1 / 4;
 /** Who has just started and is alone seeks others so often into a beat: those may be starting, too. */
 const startLooks = 6;
 /** A change longer than this part of the whole is not worth its trouble. */
@@ -36,40 +38,40 @@
 
 /** One node's acquaintance with the others: who is here, and the news all share. */
 export class Membership {
-  readonly board = new Board();
+  readonly stateTable = new StateTable();
   readonly #options: MembershipOptions;
-  readonly #listeners: ((news: News, sent: News) => void)[] = [];
+  readonly #listeners: ((update: Update, sent: Update) => void)[] = [];
   readonly #stops: (() => void)[] = [];
   readonly #places = new NodePlaces();
   /** By their keys on the board. */
-  readonly #cards = new Map<string, Card>();
-  #live: readonly Card[] = [];
-  #byName: ReadonlyMap<NodeName, Card> = new Map();
+  readonly #nodeRecords = new Map<string, NodeRecord>();
+  #live: readonly NodeRecord[] = [];
+  #byName: ReadonlyMap<NodeName, NodeRecord> = new Map();
   #ring: Ring<NodeName>;
-  #relays: Relays;
-  readonly #gathering: Gathering;
+  #relays: Broadcaster;
+  readonly #gathering: UpdateBatcher;
   readonly #detector: FailureDetector;
   readonly #antiEntropy: AntiEntropy;
   #version: Version;
-  #state: Card['state'] = 'here';
+  #state: NodeRecord['state'] = 'here';
 
   constructor(options: MembershipOptions) {
     this.#options = options;
     this.#ring = new Ring([], options.bounds.watchers, this.#places);
     // The wall clock makes incarnations grow over restarts; where it went back, the refutation below mends it.
     this.#version = [Math.floor(options.clock.wallMs()), 0];
-    const { wire, clock, bounds } = options;
-    this.#relays = new Relays(this.name, [], this.#places);
+    const { transport, clock, bounds } = options;
+    this.#relays = new Broadcaster(this.name, [], this.#places);
     this.#gathering = this.#makeGathering();
     this.#detector = this.#makeDetector();
     this.#antiEntropy = this.#makeAntiEntropy();
-    wire.serve(membershipCalls.beat, async (body) => this.#takeBeat(body));
-    wire.serve(membershipCalls.news, async (body) => {
-      this.#take(body.news, body.from);
+    transport.serve(membershipCalls.heartbeat, async (body) => this.#takeHeartbeat(body));
+    transport.serve(membershipCalls.update, async (body) => {
+      this.#take(body.updates, body.from);
       return {};
     });
     this.#say();
-    this.#stops.push(every(clock, bounds.heartbeatMs, () => this.#beat()));
+    this.#stops.push(every(clock, bounds.heartbeatMs, () => this.#heartbeat()));
     this.#stops.push(every(clock, bounds.failureTimeoutMs, () => this.#antiEntropy.seek()));
     this.#antiEntropy.seekAll();
     const looks = every(clock, bounds.heartbeatMs / startLooks, () => (this.#live.length > 1 ? looks() : this.#antiEntropy.seekAll()));
@@ -77,38 +79,38 @@
   }
 
   get name(): NodeName {
-    return this.#options.card.name;
+    return this.#options.nodeRecord.name;
   }
 
   /** The cards of all nodes that are here, this one included. */
-  live(): readonly Card[] {
+  live(): readonly NodeRecord[] {
     return this.#live;
   }
 
   /** Every card ever heard of, with its state. */
-  cards(): readonly Card[] {
-    return [...this.#cards.values()];
+  nodeRecords(): readonly NodeRecord[] {
+    return [...this.#nodeRecords.values()];
   }
 
-  card(name: NodeName): Card | undefined {
+  nodeRecord(name: NodeName): NodeRecord | undefined {
     return this.#byName.get(name);
   }
 
   /** Hears all news from now on, and as they go on to others; first all that is known by now, so that nothing is missed. */
-  onNews(listen: (news: News, sent: News) => void): void {
-    for (const news of [...this.board.withPrefix('')]) listen(news, news);
+  onUpdate(listen: (update: Update, sent: Update) => void): void {
+    for (const update of [...this.stateTable.withPrefix('')]) listen(update, update);
     this.#listeners.push(listen);
   }
 
   /** Hears of every node's changes; `begun` where its process began anew or was never heard of before. */
-  onCard(listen: (card: Card, begun: boolean) => void): void {
+  onNodeRecord(listen: (nodeRecord: NodeRecord, begun: boolean) => void): void {
     const known = new Map<NodeName, number>();
-    this.onNews((news) => {
-      const card = news.key.startsWith(prefix) ? cardOf(news) : undefined;
-      if (card === undefined) return;
-      const begun = card.state === 'here' && known.get(card.name) !== news.version[0];
-      if (begun) known.set(card.name, news.version[0]);
-      listen(card, begun);
+    this.onUpdate((update) => {
+      const nodeRecord = update.key.startsWith(prefix) ? nodeRecordOf(update) : undefined;
+      if (nodeRecord === undefined) return;
+      const begun = nodeRecord.state === 'here' && known.get(nodeRecord.name) !== update.version[0];
+      if (begun) known.set(nodeRecord.name, update.version[0]);
+      listen(nodeRecord, begun);
     });
   }
 
@@ -118,16 +120,16 @@
   }
 
   /** Puts news on the board and sends it along the tree. False when it is not newer. */
-  put(news: News): boolean {
-    return this.#take([news], this.name) > 0;
+  put(update: Update): boolean {
+    return this.#take([update], this.name) > 0;
   }
 
   /** Puts news that differs little from what is held: it travels as a change where that is much shorter. */
-  putChanged(news: News): boolean {
-    const known = this.board.get(news.key);
-    const patch = known === undefined ? undefined : mergeChange(known.value, news.value);
-    if (known === undefined || patch === undefined || lengthOf(patch) > lengthOf(news.value) * changeRatio) return this.put(news);
-    return this.put({ ...news, value: undefined, change: { from: known.version, patch } });
+  putChanged(update: Update): boolean {
+    const known = this.stateTable.get(update.key);
+    const patch = known === undefined ? undefined : mergePatchBetween(known.value, update.value);
+    if (known === undefined || patch === undefined || lengthOf(patch) > lengthOf(update.value) * changeRatio) return this.put(update);
+    return this.put({ ...update, value: undefined, change: { from: known.version, patch } });
   }
 
   /** Says that this node goes, so that nobody has to find out. */
@@ -151,47 +153,51 @@
     this.#take([this.#own()], this.name);
   }
 
-  #own(): News {
-    return { key: prefix + this.name, version: this.#version, volatile: false, value: { ...this.#options.card, state: this.#state } };
+  #own(): Update {
+    return { key: prefix + this.name, version: this.#version, volatile: false, value: { ...this.#options.nodeRecord, state: this.#state } };
   }
 
-  #take(all: readonly News[], from: NodeName, passes = true): number {
-    const fresh: { readonly news: News; readonly sent: News }[] = [];
+  #take(all: readonly Update[], from: NodeName, passes = true): number {
+    const fresh: { readonly update: Update; readonly sent: Update }[] = [];
     for (const sent of all) {
-      if (!isNewer(sent.version, this.board.get(sent.key)?.version)) continue;
-      const news = this.board.whole(sent);
-      if (news !== 'unknown') {
-        fresh.push({ news, sent });
-        this.board.put(news);
+      if (!isNewer(sent.version, this.stateTable.get(sent.key)?.version)) continue;
+      const update = this.stateTable.whole(sent);
+      if (update !== 'unknown') {
+        fresh.push({ update, sent });
+        this.stateTable.put(update);
         continue;
       }
       // A change on a version that is not here is not applied: the whole is asked for where it came from.
       this.#options.counters.add('membership.changeUnknown');
-      const card = this.card(from);
-      if (card !== undefined) void this.#antiEntropy.compareWith(card.address);
+      const nodeRecord = this.nodeRecord(from);
+      if (nodeRecord !== undefined) void this.#antiEntropy.compareWith(nodeRecord.address);
     }
     if (fresh.length === 0) return 0;
     // Ring and tree are derived once for all cards that come together; one by one a start would cost nodes x nodes.
-    const cards = fresh.filter(({ news }) => news.key.startsWith(prefix));
-    if (cards.map(({ news }) => this.#takeCard(news)).some((changed) => changed)) this.#arrange();
-    for (const { news, sent } of fresh) for (const listen of this.#listeners) listen(news, sent);
-    if (passes) this.#gathering.add(fresh.map(({ sent }) => ({ news: sent, from })));
+    const nodeRecords = fresh.filter(({ update }) => update.key.startsWith(prefix));
+    if (nodeRecords.map(({ update }) => this.#takeNodeRecord(update)).some((changed) => changed)) this.#arrange();
+    for (const { update, sent } of fresh) for (const listen of this.#listeners) listen(update, sent);
+    if (passes) this.#gathering.add(fresh.map(({ sent }) => ({ update: sent, from })));
     return fresh.length;
   }
 
   /** False where the card was refuted. */
-  #takeCard(news: News): boolean {
-    const card = cardOf(news);
-    if (card?.name === this.name && this.#state === 'here' && (card.state !== 'here' || card.address !== this.#options.card.address)) {
+  #takeNodeRecord(update: Update): boolean {
+    const nodeRecord = nodeRecordOf(update);
+    if (
+      nodeRecord?.name === this.name &&
+      this.#state === 'here' &&
+      (nodeRecord.state !== 'here' || nodeRecord.address !== this.#options.nodeRecord.address)
+    ) {
       // A rumour of this node's end is answered with a later turn; so is a card left by an earlier life.
       this.#options.counters.add('membership.refuted');
-      this.#version = [Math.max(news.version[0], this.#version[0]), news.version[1] + 1];
+      this.#version = [Math.max(update.version[0], this.#version[0]), update.version[1] + 1];
       this.#say();
       return false;
     }
-    if (card?.name === this.name) this.#version = news.version;
-    if (card === undefined) this.#cards.delete(news.key);
-    else this.#cards.set(news.key, card);
+    if (nodeRecord?.name === this.name) this.#version = update.version;
+    if (nodeRecord === undefined) this.#nodeRecords.delete(update.key);
+    else this.#nodeRecords.set(update.key, nodeRecord);
     return true;
   }
 
@@ -199,70 +205,70 @@
   #arrange(): void {
     const { bounds, log } = this.#options;
     const before = this.#byName;
-    this.#live = this.cards()
-      .filter((card) => card.state === 'here')
+    this.#live = this.nodeRecords()
+      .filter((nodeRecord) => nodeRecord.state === 'here')
       .sort((a, b) => (a.name < b.name ? -1 : 1));
-    this.#byName = new Map(this.#live.map((card) => [card.name, card]));
+    this.#byName = new Map(this.#live.map((nodeRecord) => [nodeRecord.name, nodeRecord]));
     this.#ring = new Ring([...this.#byName.keys()], bounds.watchers, this.#places);
-    this.#relays = new Relays(this.name, this.#live, this.#places);
+    this.#relays = new Broadcaster(this.name, this.#live, this.#places);
     for (const name of this.#byName.keys()) if (!before.has(name)) log.info(`${name} is here`);
     for (const name of before.keys()) if (!this.#byName.has(name)) log.info(`${name} is away`);
     this.#detector.watch(this.#ring.charges(this.name));
   }
 
-  #passOn(all: readonly { readonly news: News; readonly from: NodeName }[]): void {
-    for (const card of this.#relays.neighbours) {
-      const news = all.flatMap((one) => (one.from === card.name ? [] : [one.news]));
-      if (news.length > 0) this.#tell([card], news);
+  #passOn(all: readonly { readonly update: Update; readonly from: NodeName }[]): void {
+    for (const nodeRecord of this.#relays.neighbours) {
+      const updates = all.flatMap((one) => (one.from === nodeRecord.name ? [] : [one.update]));
+      if (updates.length > 0) this.#tell([nodeRecord], updates);
     }
   }
 
-  #tell(relays: readonly Card[], news: readonly News[]): void {
-    for (const card of relays) {
-      if (card.name === this.name) continue;
+  #tell(relays: readonly NodeRecord[], updates: readonly Update[]): void {
+    for (const nodeRecord of relays) {
+      if (nodeRecord.name === this.name) continue;
       this.#options.counters.add('membership.newsSent');
-      this.#options.wire.tell(card.address, membershipCalls.news, {
+      this.#options.transport.tell(nodeRecord.address, membershipCalls.update, {
         from: this.name,
-        news: news.map((one) => this.#relays.narrowed(one, card.name)),
+        updates: updates.map((one) => this.#relays.narrowed(one, nodeRecord.name)),
       });
     }
   }
 
-  #beat(): void {
-    const beat = { card: this.#own(), checksum: this.board.checksum };
+  #heartbeat(): void {
+    const heartbeat = { nodeRecord: this.#own(), checksum: this.stateTable.checksum };
     for (const name of this.#ring.watchers(this.name)) {
-      const card = this.card(name);
-      if (card === undefined) continue;
+      const nodeRecord = this.nodeRecord(name);
+      if (nodeRecord === undefined) continue;
       this.#options.counters.add('membership.beatsSent');
-      this.#options.wire.tell(card.address, membershipCalls.beat, beat);
+      this.#options.transport.tell(nodeRecord.address, membershipCalls.heartbeat, heartbeat);
     }
     // Who knows nobody yet must not wait a silence for each seed that is down.
     if (this.#live.length <= 1) this.#antiEntropy.seekAll();
     this.#detector.look();
   }
 
-  async #takeBeat(body: { readonly card: News; readonly checksum: number }): Promise<Record<string, never>> {
-    const card = cardOf(body.card);
-    if (card === undefined) return {};
-    this.#detector.heard(card.name);
-    this.#take([body.card], card.name);
-    await this.#antiEntropy.heard(body.checksum, card.address);
+  async #takeHeartbeat(body: { readonly nodeRecord: Update; readonly checksum: number }): Promise<Record<string, never>> {
+    const nodeRecord = nodeRecordOf(body.nodeRecord);
+    if (nodeRecord === undefined) return {};
+    this.#detector.heard(nodeRecord.name);
+    this.#take([body.nodeRecord], nodeRecord.name);
+    await this.#antiEntropy.heard(body.checksum, nodeRecord.address);
     return {};
   }
 
-  #gone(card: Card): void {
-    const news = this.board.get(prefix + card.name);
-    if (news === undefined) return;
+  #gone(nodeRecord: NodeRecord): void {
+    const update = this.stateTable.get(prefix + nodeRecord.name);
+    if (update === undefined) return;
     this.#options.counters.add('membership.gone');
-    this.put({ ...news, version: [news.version[0], news.version[1] + 1], value: { ...card, state: 'gone' } });
+    this.put({ ...update, version: [update.version[0], update.version[1] + 1], value: { ...nodeRecord, state: 'gone' } });
   }
 
-  #makeGathering(): Gathering {
+  #makeGathering(): UpdateBatcher {
     const { clock, bounds } = this.#options;
-    return new Gathering({
+    return new UpdateBatcher({
       clock,
       lastingMs: bounds.heartbeatMs * gatherRatio,
-      volatileMs: () => bounds.heartbeatMs * Math.min(mostGatherRatio, Math.max(gatherRatio, this.#live.length / 256)),
+      volatileMs: () => bounds.heartbeatMs * Math.min(maxGatherRatio, Math.max(gatherRatio, this.#live.length / 256)),
       send: (all) => this.#passOn(all),
     });
   }
@@ -271,9 +277,9 @@
     return new FailureDetector({
       ...this.#options,
       self: this.name,
-      card: (name) => this.card(name),
+      nodeRecord: (name) => this.nodeRecord(name),
       watchers: (name) => this.#ring.watchers(name),
-      gone: (card) => this.#gone(card),
+      gone: (nodeRecord) => this.#gone(nodeRecord),
     });
   }
 
@@ -281,8 +287,8 @@
     return new AntiEntropy({
       ...this.#options,
       self: this.name,
-      board: this.board,
-      gone: () => this.cards().filter((card) => card.state === 'gone'),
+      stateTable: this.stateTable,
+      gone: () => this.nodeRecords().filter((nodeRecord) => nodeRecord.state === 'gone'),
       take: (newer, first) => {
         this.#take(newer, this.name, !first);
         // What a newcomer is told first the others have already; those it relays for lack only its own card.
--- a/packages/membership/src/nodePlaces.ts
+++ b/packages/membership/src/nodePlaces.ts
@@ -1,4 +1,4 @@
-import { hashOf } from '@pewterlanding/runtime';
+import { hashOf } from '@pewterlanding/model';
 
 /** Hashes of nodes' names, worked out once for each: ring and tree are derived anew at each arrival. */
 export class NodePlaces {
@@ -19,7 +19,7 @@
 function placeIn(places: Map<string, number>, name: string, text: string): number {
   const known = places.get(name);
   if (known !== undefined) return known;
-  const place = hashOf(text);
-  places.set(name, place);
-  return place;
+  const position = hashOf(text);
+  places.set(name, position);
+  return position;
 }
--- a/packages/membership/src/startMembership.ts
+++ b/packages/membership/src/startMembership.ts
@@ -1,10 +1,10 @@
-import type { Boot, Clock, Counters, Log, Wire } from '@pewterlanding/runtime';
+import type { BootSettings, Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { Membership } from './membership.js';
-import type { Role } from './role.js';
+import type { Role } from './state-table/role.js';
 
 interface Ground {
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly counters: Counters;
   readonly log: Log;
 }
@@ -12,9 +12,9 @@
 const watchers = 3;
 
 /** A node's acquaintance as its boot describes it. */
-export function startMembership(boot: Boot, role: Role, ground: Ground): Membership {
-  const { name, zone, listen, advertise, http, seeds, heartbeatMs, failureTimeoutMs } = boot;
-  const card = { name, role, zone, address: advertise ?? listen, http };
+export function startMembership(bootSettings: BootSettings, role: Role, ground: Ground): Membership {
+  const { name, zone, listen, advertise, http, seeds, heartbeatMs, failureTimeoutMs } = bootSettings;
+  const nodeRecord = { name, role, zone, address: advertise ?? listen, http };
   // The very list of seeds: a later settings file changes it in place.
-  return new Membership({ ...ground, card, seeds, bounds: { heartbeatMs, failureTimeoutMs, watchers } });
+  return new Membership({ ...ground, nodeRecord, seeds, bounds: { heartbeatMs, failureTimeoutMs, watchers } });
 }
--- a/packages/membership/src/card.ts
+++ b/packages/membership/src/state-table/nodeRecord.ts
@@ -1,9 +1,9 @@
 import * as v from 'valibot';
-import { Address, NodeName, ZoneName } from '@pewterlanding/runtime';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
 import { Role } from './role.js';
 
 /** What a node says of itself, or others say of it. `left` is its own word, `gone` is a watcher's. */
-export const Card = v.strictObject({
+export const NodeRecord = v.strictObject({
   name: NodeName,
   role: Role,
   zone: ZoneName,
@@ -12,4 +12,4 @@
   http: v.optional(Address),
   state: v.picklist(['here', 'gone', 'left']),
 });
-export type Card = v.InferOutput<typeof Card>;
+export type NodeRecord = v.InferOutput<typeof NodeRecord>;
--- a/packages/membership/src/board.ts
+++ b/packages/membership/src/state-table/stateTable.ts
@@ -1,12 +1,13 @@
-import { crc32, mergePatch } from '@pewterlanding/runtime';
+import { mergePatch } from '@pewterlanding/model';
+import { crc32 } from '@pewterlanding/runtime';
 import { isNewer } from './isNewer.js';
-import type { News } from './news.js';
+import type { Update } from './update.js';
 import type { Version } from './version.js';
 
 interface Held {
-  readonly news: News;
+  readonly update: Update;
   /** Of key and version; nothing where the news is volatile. */
-  readonly mark: number;
+  readonly fingerprint: number;
   readonly bucket: number;
 }
 
@@ -14,10 +15,10 @@
 const buckets = 64;
 
 /** All news a node holds; of each key only the newest. Boards that took the same news are equal, in whatever order it came. */
-export class Board {
+export class StateTable {
   readonly #held = new Map<string, Held>();
   /** The same by what stands before the first slash: most are looked for by kind, and fronts have the most news of all. */
-  readonly #kinds = new Map<string, Map<string, News>>();
+  readonly #kinds = new Map<string, Map<string, Update>>();
   readonly #digest: number[] = new Array<number>(buckets).fill(0);
   #checksum = 0;
 
@@ -31,39 +32,40 @@
     return this.#digest;
   }
 
-  get(key: string): News | undefined {
-    return this.#held.get(key)?.news;
+  get(key: string): Update | undefined {
+    return this.#held.get(key)?.update;
   }
 
   /** False when the news is not newer than what is held. */
-  put(news: News): boolean {
-    const known = this.#held.get(news.key);
-    if (!isNewer(news.version, known?.news.version)) return false;
-    const bucket = known?.bucket ?? crc(news.key) % buckets;
-    const mark = news.volatile ? 0 : mixed(crc(`${news.key}\u0000${news.version.join('.')}`));
-    this.#held.set(news.key, { news, mark, bucket });
-    const kind = news.key.slice(0, news.key.indexOf('/') + 1);
-    const alike = this.#kinds.get(kind) ?? new Map<string, News>();
-    this.#kinds.set(kind, alike.set(news.key, news));
-    const change = mark ^ (known?.mark ?? 0);
+  put(update: Update): boolean {
+    const known = this.#held.get(update.key);
+    if (!isNewer(update.version, known?.update.version)) return false;
+    const bucket = known?.bucket ?? crc(update.key) % buckets;
+    const fingerprint = update.volatile ? 0 : mixed(crc(`${update.key}\u0000${update.version.join('.')}`));
+    this.#held.set(update.key, { update, fingerprint, bucket });
+    const kind = update.key.slice(0, update.key.indexOf('/') + 1);
+    const alike = this.#kinds.get(kind) ?? new Map<string, Update>();
+    this.#kinds.set(kind, alike.set(update.key, update));
+    const change = fingerprint ^ (known?.fingerprint ?? 0);
     this.#checksum = (this.#checksum ^ change) >>> 0;
     this.#digest[bucket] = ((this.#digest[bucket] ?? 0) ^ change) >>> 0;
     return true;
   }
 
   /** News as it can be held here: a change made whole from the version it starts at, or 'unknown' where that one is not here. */
-  whole(news: News): News | 'unknown' {
-    const { change, ...rest } = news;
-    if (change === undefined) return news;
-    const known = this.get(news.key);
+  whole(update: Update): Update | 'unknown' {
+    const { change, ...rest } = update;
+    if (change === undefined) return update;
+    const known = this.get(update.key);
     if (known === undefined || known.version[0] !== change.from[0] || known.version[1] !== change.from[1]) return 'unknown';
     return { ...rest, value: mergePatch(known.value, change.patch) };
   }
 
-  *withPrefix(prefix: string): Generator<News> {
+  *withPrefix(prefix: string): Generator<Update> {
     const slash = prefix.indexOf('/') + 1;
-    const kinds = slash === 0 ? this.#kinds.values() : [this.#kinds.get(prefix.slice(0, slash)) ?? new Map<string, News>()];
-    for (const alike of kinds) for (const news of alike.values()) if (slash === prefix.length || news.key.startsWith(prefix)) yield news;
+    const kinds = slash === 0 ? this.#kinds.values() : [this.#kinds.get(prefix.slice(0, slash)) ?? new Map<string, Update>()];
+    for (const alike of kinds)
+      for (const update of alike.values()) if (slash === prefix.length || update.key.startsWith(prefix)) yield update;
   }
 
   /** Buckets that hold something else here than where that digest was made. */
@@ -72,22 +74,22 @@
   }
 
   versions(within: readonly number[]): Record<string, Version> {
-    return Object.fromEntries([...this.#lasting(within)].map((news) => [news.key, news.version]));
+    return Object.fromEntries([...this.#lasting(within)].map((update) => [update.key, update.version]));
   }
 
   /** What is held in these buckets newer than in the versions given, and the keys that are newer there. */
   compare(
     within: readonly number[],
     versions: Readonly<Record<string, Version>>,
-  ): { readonly newer: readonly News[]; readonly wanted: readonly string[] } {
-    const newer = [...this.#lasting(within)].filter((news) => isNewer(news.version, versions[news.key]));
+  ): { readonly newer: readonly Update[]; readonly wanted: readonly string[] } {
+    const newer = [...this.#lasting(within)].filter((update) => isNewer(update.version, versions[update.key]));
     const wanted = Object.entries(versions).flatMap(([key, version]) => (isNewer(version, this.get(key)?.version) ? [key] : []));
     return { newer, wanted };
   }
 
-  *#lasting(within: readonly number[]): Generator<News> {
+  *#lasting(within: readonly number[]): Generator<Update> {
     const asked = new Set(within);
-    for (const { news, bucket } of this.#held.values()) if (!news.volatile && asked.has(bucket)) yield news;
+    for (const { update, bucket } of this.#held.values()) if (!update.volatile && asked.has(bucket)) yield update;
   }
 }
 
@@ -97,8 +99,8 @@
 
 /** A CRC is linear: unmixed, two keys that differ by the same turn cancel each other out, and unlike boards pass for equal. */
 function mixed(sum: number): number {
-  let mark = sum;
-  mark = Math.imul(mark ^ (mark >>> 16), 0x85ebca6b);
-  mark = Math.imul(mark ^ (mark >>> 13), 0xc2b2ae35);
-  return (mark ^ (mark >>> 16)) >>> 0;
+  let fingerprint = sum;
+  fingerprint = Math.imul(fingerprint ^ (fingerprint >>> 16), 0x85ebca6b);
+  fingerprint = Math.imul(fingerprint ^ (fingerprint >>> 13), 0xc2b2ae35);
+  return (fingerprint ^ (fingerprint >>> 16)) >>> 0;
 }
--- a/packages/membership/src/news.ts
+++ b/packages/membership/src/state-table/update.ts
@@ -2,7 +2,7 @@
 import { Version } from './version.js';
 
 /** One thing known to the whole fleet. Volatile news are not compared: who tells them tells them anew before long. */
-export const News = v.strictObject({
+export const Update = v.strictObject({
   key: v.string(),
   version: Version,
   volatile: v.boolean(),
@@ -12,4 +12,4 @@
   /** Instead of the value: what changed since a version. Who holds another version asks for the whole. */
   change: v.optional(v.strictObject({ from: Version, patch: v.unknown() })),
 });
-export type News = v.InferOutput<typeof News>;
+export type Update = v.InferOutput<typeof Update>;
--- a/packages/membership/src/version.ts
+++ b/packages/membership/src/state-table/version.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 
 /** An incarnation or epoch, and a turn within it; compared in that order. */
 export const Version = v.tuple([Count, Count]);
--- a/packages/membership/test/relays.test.ts
+++ b/packages/membership/test/broadcaster.test.ts
@@ -1,26 +1,26 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Address, NodeName, ZoneName } from '@pewterlanding/runtime';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
 import { NodePlaces } from '../src/index.js';
-import type { Card, News } from '../src/index.js';
-import { Relays } from '../src/relays.js';
+import type { NodeRecord, Update } from '../src/index.js';
+import { Broadcaster } from '../src/broadcast/broadcaster.js';
 
-const live: readonly Card[] = Array.from({ length: 12 }, (_, at) => ({
+const live: readonly NodeRecord[] = Array.from({ length: 12 }, (_, at) => ({
   name: v.parse(NodeName, `n${at}`),
   role: 'agent' as const,
   zone: v.parse(ZoneName, at % 2 === 0 ? 'a' : 'b'),
   address: v.parse(Address, `127.0.0.${at + 1}:7000`),
   state: 'here' as const,
 }));
-const all = new Map(live.map(({ name }) => [name, new Relays(name, live, new NodePlaces())]));
+const all = new Map(live.map(({ name }) => [name, new Broadcaster(name, live, new NodePlaces())]));
 const byNode = Object.fromEntries(live.map(({ name }) => [name, name]));
-const news: News = { key: 'fresh', version: [1, 0], volatile: true, value: 1, byNode };
+const update: Update = { key: 'fresh', version: [1, 0], volatile: true, value: 1, byNode };
 
 /** Carries news from one node to all, and returns what each got of what is for single nodes. */
 function carried(from: NodeName): ReadonlyMap<NodeName, readonly string[]> {
   const got = new Map<NodeName, readonly string[]>([[from, Object.keys(byNode)]]);
-  const next = [{ at: from, held: news }];
+  const next = [{ at: from, held: update }];
   for (let step = next.shift(); step !== undefined; step = next.shift()) {
     for (const { name } of all.get(step.at)?.neighbours ?? []) {
       if (got.has(name)) continue;
@@ -50,7 +50,7 @@
   });
 
   it('leave news for everybody as they are', () => {
-    const { byNode: _, ...whole } = news;
+    const { byNode: _, ...whole } = update;
     expect(all.get(live[0]?.name ?? v.parse(NodeName, 'none'))?.narrowed(whole, v.parse(NodeName, 'n1'))).toEqual(whole);
   });
 });
--- a/packages/membership/test/failureDetector.test.ts
+++ b/packages/membership/test/failureDetector.test.ts
@@ -1,44 +1,45 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Address, NodeName, ZoneName } from '@pewterlanding/runtime';
-import type { Address as At, Wire } from '@pewterlanding/runtime';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
+import type { Address as At } from '@pewterlanding/model';
+import type { Transport } from '@pewterlanding/runtime';
 import { membershipCalls } from '../src/index.js';
-import type { Card } from '../src/index.js';
-import { FailureDetector } from '../src/failureDetector.js';
+import type { NodeRecord } from '../src/index.js';
+import { FailureDetector } from '../src/failure-detector/failureDetector.js';
 
 const failureTimeoutMs = 400;
 const bounds = { heartbeatMs: 100, failureTimeoutMs, watchers: 3 };
-const cardOf = (name: string, number: number): Card => ({
+const nodeRecordOf = (name: string, number: number): NodeRecord => ({
   name: v.parse(NodeName, name),
   role: 'agent',
   zone: v.parse(ZoneName, 'a'),
   address: v.parse(Address, `127.0.0.${number}:7000`),
   state: 'here',
 });
-const [self, silent, other] = [cardOf('self', 1), cardOf('silent', 2), cardOf('other', 3)];
+const [self, silent, other] = [nodeRecordOf('self', 1), nodeRecordOf('silent', 2), nodeRecordOf('other', 3)];
 
 /** A detector that watches one node, beside one other watcher; `reached` says who reaches the silent one. */
 class Watch {
   nowMs = 0;
   held = silent;
-  reached: readonly Card[] = [];
+  reached: readonly NodeRecord[] = [];
   readonly gone: string[] = [];
   readonly detector: FailureDetector;
 
   constructor() {
-    const wire: Wire = {
+    const transport: Transport = {
       here: self.address,
       serve: () => undefined,
-      ask: async (to, call) => v.parse(call.back, this.#returned(to, call.name)),
+      ask: async (to, call) => v.parse(call.response, this.#returned(to, call.name)),
       tell: () => undefined,
     };
     this.detector = new FailureDetector({
       self: self.name,
       clock: { nowMs: () => this.nowMs, wallMs: () => 0, after: () => () => undefined },
-      wire,
+      transport,
       bounds,
-      card: (name) => [self, this.held, other].find((card) => card.name === name),
+      nodeRecord: (name) => [self, this.held, other].find((nodeRecord) => nodeRecord.name === name),
       watchers: () => [self.name, other.name],
       gone: ({ name }) => this.gone.push(name),
     });
@@ -67,9 +68,9 @@
   });
 
   it('does not while another watcher reaches it, or it answers itself', async () => {
-    for (const card of [self, other]) {
+    for (const nodeRecord of [self, other]) {
       const watch = new Watch();
-      watch.reached = [card];
+      watch.reached = [nodeRecord];
       expect(await watch.look(failureTimeoutMs + 1)).toEqual([]);
       watch.reached = [];
       expect(await watch.look(failureTimeoutMs * 2)).toEqual([]);
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -1,8 +1,9 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Address, Counters, NodeName, quietLog, ZoneName } from '@pewterlanding/runtime';
-import type { Call, Clock, Wire } from '@pewterlanding/runtime';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
+import { Counters, quietLog } from '@pewterlanding/runtime';
+import type { Call, Clock, Transport } from '@pewterlanding/runtime';
 import { Membership } from '../src/index.js';
 
 const heartbeatMs = 100;
@@ -14,7 +15,7 @@
 
   node(number: number): Membership {
     const here = v.parse(Address, `127.0.0.${number}:7000`);
-    const wire: Wire = {
+    const transport: Transport = {
       here,
       serve: (call, handle) => {
         this.#handlers.set(`${here} ${call.name}`, async (raw) => handle(v.parse(call.body, raw)));
@@ -30,17 +31,17 @@
         return () => undefined;
       },
     };
-    const card = { name: v.parse(NodeName, `n${number}`), role: 'agent' as const, zone: v.parse(ZoneName, 'z'), address: here };
+    const nodeRecord = { name: v.parse(NodeName, `n${number}`), role: 'agent' as const, zone: v.parse(ZoneName, 'z'), address: here };
     const seeds = number === 1 ? [] : [v.parse(Address, '127.0.0.1:7000')];
     const bounds = { heartbeatMs, failureTimeoutMs: heartbeatMs * 4, watchers: 3 };
-    return new Membership({ card, seeds, clock, wire, bounds, counters: this.counters, log: quietLog });
+    return new Membership({ nodeRecord, seeds, clock, transport, bounds, counters: this.counters, log: quietLog });
   }
 
   async #carry<B, R>(to: Address, call: Call<B, R>, body: B): Promise<R> {
     this.counters.add(call.name);
     const handle = this.#handlers.get(`${to} ${call.name}`);
     if (handle === undefined) throw new Error(`nobody at ${to}`);
-    return v.parse(call.back, await handle(body));
+    return v.parse(call.response, await handle(body));
   }
 }
 
@@ -57,18 +58,18 @@
   return nodes;
 }
 
-const lives = (nodes: readonly Membership[]): readonly number[] => nodes.map((node) => node.live().length);
+const instances = (nodes: readonly Membership[]): readonly number[] => nodes.map((node) => node.live().length);
 
 describe('nodes that know each other', () => {
   it('tell all that one leaves, though it is no part of the tree any more', async () => {
     const nodes = await fleet(new StillNet(), 9);
-    expect(lives(nodes)).toEqual(nodes.map(() => 9));
+    expect(instances(nodes)).toEqual(nodes.map(() => 9));
     // No beat comes, so neither a beat nor a comparison can bring the word.
     for (const [at, node] of nodes.slice(0, 4).entries()) {
       node.leave();
       await settled();
       const rest = nodes.slice(at + 1);
-      expect(lives(rest)).toEqual(rest.map(() => rest.length));
+      expect(instances(rest)).toEqual(rest.map(() => rest.length));
     }
   });
 
@@ -78,13 +79,13 @@
     for (let word = 0; word < 500; word += 1) one?.put({ key: `word/${word}`, version: [1, 0], volatile: false, value: word });
     const two = net.node(2);
     await settled();
-    expect([...two.board.withPrefix('word/')].length).toEqual(500);
-    expect(two.board.checksum).toEqual(one?.board.checksum ?? -1);
-    expect(two.board.differing(one?.board.digest ?? [])).toEqual([]);
-    two.board.put({ key: 'word/7', version: [2, 0], volatile: false, value: 8 });
-    const differing = two.board.differing(one?.board.digest ?? []);
+    expect([...two.stateTable.withPrefix('word/')].length).toEqual(500);
+    expect(two.stateTable.checksum).toEqual(one?.stateTable.checksum ?? -1);
+    expect(two.stateTable.differing(one?.stateTable.digest ?? [])).toEqual([]);
+    two.stateTable.put({ key: 'word/7', version: [2, 0], volatile: false, value: 8 });
+    const differing = two.stateTable.differing(one?.stateTable.digest ?? []);
     expect(differing.length).toEqual(1);
-    expect(Object.keys(two.board.versions(differing)).length < 50).toEqual(true);
+    expect(Object.keys(two.stateTable.versions(differing)).length < 50).toEqual(true);
     // A newcomer has nothing to tell the others of what it was just told.
     expect(net.counters.get('membership.compared')).toEqual(1);
     expect(net.counters.get('membership.newsSent') < 10).toEqual(true);
--- /dev/null
+++ b/packages/membership/test/stateTable.test.ts
@@ -0,0 +1,49 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { mergePatchBetween, mergePatch } from '@pewterlanding/model';
+import { StateTable } from '../src/index.js';
+import type { Update } from '../src/index.js';
+
+const whole = (version: number, value: unknown): Update => ({ key: 'setup', version: [version, 0], volatile: false, value });
+const before = { bounds: { cap: 1, wait: 2 }, services: { a: { slots: [1, 2] }, b: {} }, gone: true };
+const four: [number, number] = [4, 0];
+const after = { bounds: { cap: 3, wait: 2 }, services: { a: { slots: [2] }, b: {}, c: { x: '' } } };
+
+describe('news that travel as changes', () => {
+  it('make the same whole of the version they start at, and say only what changed', () => {
+    const patch = mergePatchBetween(before, after);
+    expect(patch).toEqual({ gone: null, bounds: { cap: 3 }, services: { a: { slots: [2] }, c: { x: '' } } });
+    expect(mergePatch(before, patch)).toEqual(after);
+    expect(mergePatchBetween(before, { ...after, none: null })).toEqual(undefined);
+    const stateTable = new StateTable();
+    stateTable.put(whole(4, before));
+    const update = stateTable.whole({ ...whole(5, undefined), change: { from: [4, 0], patch } });
+    expect(update).toEqual(whole(5, after));
+  });
+
+  it('are not applied to any other version', () => {
+    const stateTable = new StateTable();
+    const change = { ...whole(5, undefined), change: { from: four, patch: { cap: 1 } } };
+    expect(stateTable.whole(change)).toEqual('unknown');
+    stateTable.put(whole(3, before));
+    expect(stateTable.whole(change)).toEqual('unknown');
+    stateTable.put(whole(6, after));
+    expect([stateTable.whole(change), stateTable.get('setup')?.value]).toEqual(['unknown', after]);
+  });
+});
+
+describe('the checksum', () => {
+  it('differs where two boards each lack the newer turn of another key', () => {
+    const turn = (key: string, at: number): Update => ({ key, version: [1_800_000_000_000, at], volatile: false, value: at });
+    const stateTables = [new StateTable(), new StateTable()];
+    for (const stateTable of stateTables) for (const key of ['node/a', 'node/b', 'node/c']) stateTable.put(turn(key, 0));
+    const [one, other] = stateTables;
+    expect(one?.checksum).toEqual(other?.checksum);
+    one?.put(turn('node/a', 1));
+    other?.put(turn('node/b', 1));
+    expect(one?.checksum === other?.checksum).toEqual(false);
+    other?.put(turn('node/a', 1));
+    one?.put(turn('node/b', 1));
+    expect(one?.checksum).toEqual(other?.checksum);
+  });
+});
--- a/packages/membership/test/gathering.test.ts
+++ b/packages/membership/test/updateBatcher.test.ts
@@ -1,9 +1,9 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { NodeName } from '@pewterlanding/runtime';
-import { Gathering } from '../src/index.js';
-import type { News } from '../src/index.js';
+import { NodeName } from '@pewterlanding/model';
+import { UpdateBatcher } from '../src/index.js';
+import type { Update } from '../src/index.js';
 
 const from = v.parse(NodeName, 'n1');
 const lastingMs = 10;
@@ -13,7 +13,7 @@
   nowMs = 0;
   readonly sent: { readonly atMs: number; readonly keys: string }[] = [];
   readonly #due: { readonly atMs: number; readonly run: () => void }[] = [];
-  readonly gathering = new Gathering({
+  readonly gathering = new UpdateBatcher({
     clock: {
       nowMs: () => this.nowMs,
       wallMs: () => this.nowMs,
@@ -25,11 +25,11 @@
     },
     lastingMs,
     volatileMs: () => lastingMs * 4,
-    send: (all) => this.sent.push({ atMs: this.nowMs, keys: all.map(({ news }) => news.key).join(' ') }),
+    send: (all) => this.sent.push({ atMs: this.nowMs, keys: all.map(({ update }) => update.key).join(' ') }),
   });
 
-  add(key: string, volatile: boolean, version: number, change?: News['change']): void {
-    this.gathering.add([{ from, news: { key, version: [version, 0], volatile, value: version, ...(change && { change }) } }]);
+  add(key: string, volatile: boolean, version: number, change?: Update['change']): void {
+    this.gathering.add([{ from, update: { key, version: [version, 0], volatile, value: version, ...(change && { change }) } }]);
   }
 
   runTo(atMs: number): void {
--- a/packages/runtime/src/limits.ts
+++ b/packages/model/src/configuration/limits.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from './count.js';
+import { Count } from '../schema/count.js';
 
 const Positive = v.pipe(Count, v.minValue(1));
 
--- a/packages/runtime/src/mergePatch.ts
+++ b/packages/model/src/documents/mergePatch.ts
@@ -1,4 +1,4 @@
-import { isFields } from './isFields.js';
+import { isFields } from '../schema/isFields.js';
 
 /** JSON Merge Patch (RFC 7396): null takes a field away, objects merge, all else replaces. */
 export function mergePatch(target: unknown, patch: unknown): unknown {
--- a/packages/runtime/src/mergeChange.ts
+++ b/packages/model/src/documents/mergePatchBetween.ts
@@ -1,7 +1,7 @@
-import { isFields } from './isFields.js';
+import { isFields } from '../schema/isFields.js';
 
 /** The merge patch that makes `after` of `before`; undefined where none can, for a patch cannot say null. */
-export function mergeChange(before: unknown, after: unknown): unknown {
+export function mergePatchBetween(before: unknown, after: unknown): unknown {
   if (!isFields(before) || !isFields(after)) return plain(after);
   const patch = new Map<string, unknown>();
   for (const [key, value] of Object.entries(before)) if (value !== undefined && after[key] === undefined) patch.set(key, null);
@@ -11,7 +11,7 @@
     // Large documents are gone through once: fields are compared by what their patch would hold.
     const both = isFields(held) && isFields(value);
     if (!both && JSON.stringify(held) === JSON.stringify(value)) continue;
-    const change = mergeChange(held, value);
+    const change = mergePatchBetween(held, value);
     if (change === undefined) return undefined;
     if (!both || (isFields(change) && Object.keys(change).length > 0)) patch.set(key, change);
   }
@@ -21,5 +21,5 @@
 /** What takes the place of something else; a null among its fields would be lost on the way. */
 function plain(after: unknown): unknown {
   if (after === null) return undefined;
-  return isFields(after) ? mergeChange({}, after) : after;
+  return isFields(after) ? mergePatchBetween({}, after) : after;
 }
--- a/packages/runtime/src/lotId.ts
+++ b/packages/model/src/names/batchId.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
 
-export const LotId = v.pipe(
+export const BatchId = v.pipe(
   v.string(),
   v.minLength(1),
   v.maxLength(128),
   v.regex(/^[\x21-\x7e]+$/, 'must be printable, without spaces'),
-  v.brand('LotId'),
+  v.brand('BatchId'),
 );
-export type LotId = v.InferOutput<typeof LotId>;
+export type BatchId = v.InferOutput<typeof BatchId>;
--- a/packages/runtime/src/branchName.ts
+++ b/packages/model/src/names/quotaName.ts
@@ -1,8 +1,8 @@
 import * as v from 'valibot';
 
-export const BranchName = v.pipe(
+export const QuotaName = v.pipe(
   v.string(),
   v.regex(/^[a-zA-Z0-9][a-zA-Z0-9_.\/-]{0,79}$/, 'must be 1 to 80 letters, digits, dots, dashes, slashes or underscores'),
-  v.brand('BranchName'),
+  v.brand('QuotaName'),
 );
-export type BranchName = v.InferOutput<typeof BranchName>;
+export type QuotaName = v.InferOutput<typeof QuotaName>;
--- a/packages/runtime/src/engine.ts
+++ b/packages/model/src/services/engine.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from './count.js';
+import { Count } from '../schema/count.js';
 
 /** What operators say of the engine behind a service's replicas. */
 export const Engine = v.strictObject({
--- a/packages/runtime/src/service.ts
+++ b/packages/model/src/services/service.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from './count.js';
+import { Count } from '../schema/count.js';
 import { Engine } from './engine.js';
 
 const Milliseconds = v.pipe(Count, v.maxValue(3_600_000));
@@ -8,14 +8,14 @@
 export const Service = v.strictObject({
   kind: v.picklist(['streamed', 'whole']),
   /** Whether a task may run again after it may have run once. */
-  repeatable: v.boolean(),
+  idempotent: v.boolean(),
   replicas: v.strictObject({
     /** Hosts, as IP numbers, that may announce replicas; left out, any may. */
     hosts: v.optional(v.pipe(v.array(v.pipe(v.string(), v.ip('must be an IP number'))), v.minLength(1))),
     maxSlots: v.pipe(Count, v.minValue(1)),
   }),
   /** Circuits that a replica takes from all callers together. */
-  circuits: v.optional(v.pipe(Count, v.minValue(1))),
+  connections: v.optional(v.pipe(Count, v.minValue(1))),
   engine: v.optional(Engine),
   outputTokens: v.optional(Count, 200),
   bytesPerToken: v.optional(v.pipe(v.number(), v.gtValue(0)), 4),
@@ -30,6 +30,6 @@
   maxTaskBytes: v.optional(v.pipe(Count, v.minValue(1)), 1 << 20),
   maxReturnBytes: v.optional(v.pipe(Count, v.minValue(1)), 4 << 20),
   /** The operator's own words for this item, kept whole to be read back. */
-  words: v.optional(v.unknown()),
+  sourceDocument: v.optional(v.unknown()),
 });
 export type Service = v.InferOutput<typeof Service>;
--- a/packages/rate-limit/src/account.ts
+++ b/packages/rate-limit/src/account.ts
@@ -1,5 +1,5 @@
 import type { Cost } from './cost.js';
-import { Purse } from './purse.js';
+import { LocalAllowance } from './localAllowance.js';
 import { shareOf } from './shareOf.js';
 
 interface AccountBounds {
@@ -11,8 +11,8 @@
 
 /** One branch's purses: `main` bounds all it spends, `waiting` what its waiting work spends. Both start empty. */
 export class Account {
-  readonly main: Purse;
-  readonly waiting: Purse;
+  readonly main: LocalAllowance;
+  readonly waiting: LocalAllowance;
   #rate: Cost;
   used: Cost = { requests: 0, tokens: 0 };
   lent: Cost = { requests: 0, tokens: 0 };
@@ -21,8 +21,8 @@
   constructor(bounds: AccountBounds, nowMs: number) {
     const none = { requests: 0, tokens: 0 };
     this.#rate = bounds.rate;
-    this.main = new Purse(shareOf(bounds.rate, bounds.liveRatio), bounds.rate, none, nowMs);
-    this.waiting = new Purse(shareOf(bounds.rate, bounds.waitingRatio), bounds.rate, none, nowMs);
+    this.main = new LocalAllowance(shareOf(bounds.rate, bounds.liveRatio), bounds.rate, none, nowMs);
+    this.waiting = new LocalAllowance(shareOf(bounds.rate, bounds.waitingRatio), bounds.rate, none, nowMs);
   }
 
   get rate(): Cost {
--- a/packages/rate-limit/src/balances.ts
+++ b/packages/rate-limit/src/balances.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { BranchName, Count } from '@pewterlanding/runtime';
+import { QuotaName, Count } from '@pewterlanding/model';
 import { Cost } from './cost.js';
 
 const Signed = v.pipe(v.number(), v.finite());
@@ -7,8 +7,8 @@
 
 /** What a counter that stops hands to the next one: what its purses hold, what is reserved, and how long ago each front was heard. */
 export const Balances = v.strictObject({
-  purses: v.array(v.strictObject({ branch: BranchName, main: Held, waiting: Held })),
-  open: v.array(v.strictObject({ id: v.string(), branch: BranchName, from: BranchName, cost: Cost })),
+  purses: v.array(v.strictObject({ quota: QuotaName, main: Held, waiting: Held })),
+  open: v.array(v.strictObject({ id: v.string(), quota: QuotaName, from: QuotaName, cost: Cost })),
   fronts: v.array(v.strictObject({ front: v.string(), ageMs: Count })),
 });
 export type Balances = v.InferOutput<typeof Balances>;
--- a/packages/rate-limit/src/bucket.ts
+++ b/packages/rate-limit/src/bucket.ts
@@ -41,8 +41,8 @@
     this.#tokens -= cost;
   }
 
-  put(back: number): void {
-    this.#tokens = Math.min(this.#limit, this.#tokens + back);
+  put(returned: number): void {
+    this.#tokens = Math.min(this.#limit, this.#tokens + returned);
   }
 
   /** Takes new bounds, paying out the old rate first. What is held never grows by it. */
--- a/packages/rate-limit/src/cost.ts
+++ b/packages/rate-limit/src/cost.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 
 /** What a task takes from a branch: requests and tokens. */
 export const Cost = v.strictObject({ requests: Count, tokens: Count });
--- a/packages/rate-limit/src/counter.ts
+++ b/packages/rate-limit/src/counter.ts
@@ -1,7 +1,7 @@
-import type { BranchName } from '@pewterlanding/runtime';
+import type { QuotaName } from '@pewterlanding/model';
 import { Account } from './account.js';
 import type { Balances } from './balances.js';
-import type { BranchView } from './branchView.js';
+import type { QuotaView } from './quotaView.js';
 import type { Cost } from './cost.js';
 import type { CounterRules } from './counterRules.js';
 import type { Reservation } from './reservation.js';
@@ -12,14 +12,14 @@
 /** The counter: every branch's purses, on one node, in memory. Each of its steps is synchronous and so atomic. */
 export class Counter {
   #rules: CounterRules;
-  readonly #accounts = new Map<BranchName, Account>();
+  readonly #accounts = new Map<QuotaName, Account>();
   readonly #reservations = new Map<string, Reservation>();
   readonly #fronts = new Map<string, number>();
-  readonly #needMs = new Map<BranchName, number>();
-  #waiting: ReadonlySet<BranchName> = new Set();
+  readonly #needMs = new Map<QuotaName, number>();
+  #waiting: ReadonlySet<QuotaName> = new Set();
   #lendable: Cost = { requests: 0, tokens: 0 };
   /** How far down its lenders each borrower has got in this tick: those before have nothing left. */
-  readonly #reached = new Map<BranchName, number>();
+  readonly #reached = new Map<QuotaName, number>();
   #looks = 0;
   #held = -1;
 
@@ -57,7 +57,7 @@
   }
 
   /** Begins a tick: tells which branches have waiting work, for those lend nothing, and works out once what the others lend. */
-  tick(waiting: ReadonlySet<BranchName>, nowMs: number): void {
+  tick(waiting: ReadonlySet<QuotaName>, nowMs: number): void {
     this.#waiting = waiting;
     this.#reached.clear();
     this.#lendable = { requests: 0, tokens: 0 };
@@ -75,46 +75,46 @@
   }
 
   /** Reserves for one item of waiting work, from its own branch or from one that lends. */
-  reserve(id: string, branch: BranchName, cost: Cost, nowMs: number): Taken {
+  reserve(id: string, quota: QuotaName, cost: Cost, nowMs: number): Taken {
     if (this.#reservations.has(id)) return { ok: true };
-    const own = this.#accounts.get(branch);
+    const own = this.#accounts.get(quota);
     if (own === undefined) return { ok: false, retryAfterMs: 60_000 };
     const taken = takeBoth([own.waiting, own.main], cost, nowMs);
     if (taken.ok) {
-      this.#keep(id, { branch, from: branch, cost }, own);
+      this.#keep(id, { quota, from: quota, cost }, own);
       return taken;
     }
-    const lenders = this.#rules.tree.lenders(branch);
-    for (let at = this.#reached.get(branch) ?? 0; at < lenders.length; at += 1) {
+    const lenders = this.#rules.tree.lenders(quota);
+    for (let at = this.#reached.get(quota) ?? 0; at < lenders.length; at += 1) {
       this.#looks += 1;
       const from = lenders[at];
       const lender = from === undefined ? undefined : this.#accounts.get(from);
       // The lender's waiting purse bounds the loan, so most of its live room stays its own.
       if (
         from !== undefined &&
-        from !== branch &&
+        from !== quota &&
         lender !== undefined &&
         this.#lends(from, nowMs) &&
         takeBoth([lender.waiting, lender.main], cost, nowMs).ok
       ) {
-        this.#keep(id, { branch, from, cost }, own);
+        this.#keep(id, { quota, from, cost }, own);
         lender.lent = plus(lender.lent, cost);
         own.borrowed = plus(own.borrowed, cost);
         return { ok: true };
       }
       // What has nothing now has nothing for the rest of this tick.
-      this.#reached.set(branch, at + 1);
+      this.#reached.set(quota, at + 1);
     }
     return taken;
   }
 
   /** Puts a reservation in debt without asking: what a takeover finds leased already. */
-  charge(id: string, branch: BranchName, cost: Cost): void {
-    const account = this.#accounts.get(branch);
+  charge(id: string, quota: QuotaName, cost: Cost): void {
+    const account = this.#accounts.get(quota);
     if (account === undefined || this.#reservations.has(id)) return;
     account.main.take(cost);
     account.waiting.take(cost);
-    this.#keep(id, { branch, from: branch, cost }, account);
+    this.#keep(id, { quota, from: quota, cost }, account);
   }
 
   /** The item did not run: all of it goes back. */
@@ -123,7 +123,7 @@
     if (reservation === undefined) return;
     this.#reservations.delete(id);
     this.#put(reservation.from, reservation.cost);
-    const own = this.#accounts.get(reservation.branch);
+    const own = this.#accounts.get(reservation.quota);
     if (own !== undefined) own.used = plus(own.used, reservation.cost, -1);
   }
 
@@ -133,7 +133,7 @@
     if (reservation === undefined) return;
     this.#reservations.delete(id);
     this.#put(reservation.from, { requests: 0, tokens: reservation.cost.tokens - tokens });
-    const own = this.#accounts.get(reservation.branch);
+    const own = this.#accounts.get(reservation.quota);
     if (own !== undefined) own.used = plus(own.used, { requests: 0, tokens: tokens - reservation.cost.tokens });
   }
 
@@ -149,8 +149,8 @@
       account.waiting.refill(nowMs);
     }
     return {
-      purses: [...this.#accounts].map(([branch, account]) => ({
-        branch,
+      purses: [...this.#accounts].map(([quota, account]) => ({
+        quota,
         main: { ...account.main.held },
         waiting: { ...account.waiting.held },
       })),
@@ -163,16 +163,16 @@
   adopt(balances: Balances, nowMs: number): void {
     for (const { front, ageMs } of balances.fronts) this.heard(front, nowMs - ageMs);
     this.watch(nowMs);
-    for (const { branch, main, waiting } of balances.purses) {
-      const account = this.#accounts.get(branch);
+    for (const { quota, main, waiting } of balances.purses) {
+      const account = this.#accounts.get(quota);
       account?.main.put(main);
       account?.waiting.put(waiting);
     }
     for (const { id, ...reservation } of balances.open) this.#reservations.set(id, reservation);
   }
 
-  shareOf(branch: BranchName): number {
-    return this.#rules.tree.ownShare(branch);
+  shareOf(quota: QuotaName): number {
+    return this.#rules.tree.ownShare(quota);
   }
 
   open(): readonly string[] {
@@ -180,48 +180,48 @@
   }
 
   /** Draws a prepaid slice for live work: as much of `wish` as is there, by halves, but never less than `least`. */
-  draw(branch: BranchName, wish: Cost, least: Cost, nowMs: number): { readonly given: Cost; readonly retryAfterMs: number } {
-    const account = this.#accounts.get(branch);
-    if (account === undefined) return { given: { requests: 0, tokens: 0 }, retryAfterMs: 60_000 };
-    this.#needMs.set(branch, nowMs);
-    for (let cost = wish; cost.requests >= least.requests && cost.tokens >= least.tokens; cost = shareOf(cost, 0.5)) {
+  draw(quota: QuotaName, desired: Cost, minimum: Cost, nowMs: number): { readonly granted: Cost; readonly retryAfterMs: number } {
+    const account = this.#accounts.get(quota);
+    if (account === undefined) return { granted: { requests: 0, tokens: 0 }, retryAfterMs: 60_000 };
+    this.#needMs.set(quota, nowMs);
+    for (let cost = desired; cost.requests >= minimum.requests && cost.tokens >= minimum.tokens; cost = shareOf(cost, 0.5)) {
       if (cost.requests === 0 && cost.tokens === 0) break;
       if (!takeBoth([account.main], cost, nowMs).ok) continue;
       account.used = plus(account.used, cost);
-      return { given: cost, retryAfterMs: 0 };
+      return { granted: cost, retryAfterMs: 0 };
     }
-    const taken = takeBoth([account.main], least, nowMs);
-    if (!taken.ok) return { given: { requests: 0, tokens: 0 }, retryAfterMs: taken.retryAfterMs };
-    account.used = plus(account.used, least);
-    return { given: least, retryAfterMs: 0 };
+    const taken = takeBoth([account.main], minimum, nowMs);
+    if (!taken.ok) return { granted: { requests: 0, tokens: 0 }, retryAfterMs: taken.retryAfterMs };
+    account.used = plus(account.used, minimum);
+    return { granted: minimum, retryAfterMs: 0 };
   }
 
   /** Gives back what a front did not use, or takes what it used beyond its estimates. */
-  correct(branch: BranchName, back: { readonly requests: number; readonly tokens: number }): void {
-    const account = this.#accounts.get(branch);
+  correct(quota: QuotaName, returned: { readonly requests: number; readonly tokens: number }): void {
+    const account = this.#accounts.get(quota);
     if (account === undefined) return;
-    account.main.put(back);
-    account.used = plus(account.used, back, -1);
+    account.main.put(returned);
+    account.used = plus(account.used, returned, -1);
   }
 
   /** How many items of about this cost the branch could reserve now; the tick's token capacity. */
-  capacity(branch: BranchName, cost: Cost, nowMs: number): number {
-    const account = this.#accounts.get(branch);
+  capacity(quota: QuotaName, cost: Cost, nowMs: number): number {
+    const account = this.#accounts.get(quota);
     if (account === undefined) return 0;
     this.#looks += 1;
     return itemsIn(roomOf(account, nowMs), cost) + itemsIn(this.#lendable, cost);
   }
 
   /** The most tokens that a branch's waiting work can ever hold at once. */
-  mostTokens(branch: BranchName): number {
-    const account = this.#accounts.get(branch);
+  maxTokens(quota: QuotaName): number {
+    const account = this.#accounts.get(quota);
     return account === undefined ? 0 : shareOf(account.rate, this.#rules.waitingRatio).tokens;
   }
 
-  view(): readonly BranchView[] {
-    return [...this.#accounts].map(([branch, account]) => ({
-      branch,
-      share: this.#rules.tree.ownShare(branch),
+  view(): readonly QuotaView[] {
+    return [...this.#accounts].map(([quota, account]) => ({
+      quota,
+      share: this.#rules.tree.ownShare(quota),
       used: account.used,
       lent: account.lent,
       borrowed: account.borrowed,
@@ -230,7 +230,7 @@
     }));
   }
 
-  #lends(from: BranchName, nowMs: number): boolean {
+  #lends(from: QuotaName, nowMs: number): boolean {
     const neededMs = this.#needMs.get(from);
     return !this.#waiting.has(from) && (neededMs === undefined || nowMs - neededMs > this.#rules.frontSilenceMs);
   }
@@ -240,10 +240,10 @@
     own.used = plus(own.used, reservation.cost);
   }
 
-  #put(from: BranchName, back: Cost): void {
+  #put(from: QuotaName, returned: Cost): void {
     const account = this.#accounts.get(from);
-    account?.main.put(back);
-    account?.waiting.put(back);
+    account?.main.put(returned);
+    account?.waiting.put(returned);
   }
 }
 
--- a/packages/rate-limit/src/counterRules.ts
+++ b/packages/rate-limit/src/counterRules.ts
@@ -1,10 +1,10 @@
-import type { BranchTree } from './branchTree.js';
+import type { QuotaTree } from './quotaTree.js';
 import type { Cost } from './cost.js';
 
 /** What the counter works by; ratios to the fleet's ceiling a minute. */
 export interface CounterRules {
   readonly ceiling: Cost;
-  readonly tree: BranchTree;
+  readonly tree: QuotaTree;
   /** Waiting work may hold so much of a minute's share at once; at most a tenth, or it would pass its share in the first minute. */
   readonly waitingRatio: number;
   /** Live work may hold so much of a minute's share at once. */
--- a/packages/rate-limit/src/fleetCeiling.ts
+++ b/packages/rate-limit/src/fleetCeiling.ts
@@ -1,5 +1,5 @@
-import { entriesOf } from '@pewterlanding/runtime';
-import type { Setup } from '@pewterlanding/runtime';
+import { entriesOf } from '@pewterlanding/model';
+import type { Configuration } from '@pewterlanding/model';
 import type { Cost } from './cost.js';
 
 /** A slot takes at most so many requests in a minute: a shorter one than a tenth of a second is no generation. */
@@ -11,11 +11,11 @@
  * The ceiling a minute: what operators state, or else what the replicas can do. A memory turned over once a second
  * is more than any engine reads, so that a ceiling worked out bounds a fault and not the work.
  */
-export function fleetCeiling(setup: Setup, slots: ReadonlyMap<string, number>): Cost {
-  if (setup.ceiling !== undefined) return setup.ceiling;
+export function fleetCeiling(configuration: Configuration, slots: ReadonlyMap<string, number>): Cost {
+  if (configuration.ceiling !== undefined) return configuration.ceiling;
   let requests = 1;
   let tokens = 1;
-  for (const [name, { engine }] of entriesOf(setup.services)) {
+  for (const [name, { engine }] of entriesOf(configuration.services)) {
     const held = slots.get(name) ?? 0;
     requests += held * turnsPerMinute;
     tokens += engine === undefined ? held * turnsPerMinute * tokensPerRequest : Math.ceil((held / engine.slots) * engine.memoryTokens * 60);
--- a/packages/rate-limit/src/purse.ts
+++ b/packages/rate-limit/src/localAllowance.ts
@@ -2,7 +2,7 @@
 import type { Cost } from './cost.js';
 
 /** The two buckets that belong together: requests and tokens. */
-export class Purse {
+export class LocalAllowance {
   readonly requests: Bucket;
   readonly tokens: Bucket;
 
@@ -30,9 +30,9 @@
     this.tokens.take(cost.tokens);
   }
 
-  put(back: Cost): void {
-    this.requests.put(back.requests);
-    this.tokens.put(back.tokens);
+  put(returned: Cost): void {
+    this.requests.put(returned.requests);
+    this.tokens.put(returned.tokens);
   }
 
   reshape(limit: Cost, rate: Cost, nowMs: number): void {
--- a/packages/rate-limit/src/branchTree.ts
+++ b/packages/rate-limit/src/quotaTree.ts
@@ -1,21 +1,21 @@
-import type { BranchName, BranchRule, Finding } from '@pewterlanding/runtime';
+import type { QuotaName, QuotaRule, Finding } from '@pewterlanding/model';
 
 /** The tree of branches: who owns what part of the fleet, and who may borrow from whom first. */
-export class BranchTree {
-  readonly #rules: ReadonlyMap<BranchName, BranchRule>;
-  readonly #own: ReadonlyMap<BranchName, number>;
-  readonly #parents: ReadonlySet<BranchName>;
-  readonly #lenders = new Map<BranchName | undefined, readonly BranchName[]>();
+export class QuotaTree {
+  readonly #rules: ReadonlyMap<QuotaName, QuotaRule>;
+  readonly #own: ReadonlyMap<QuotaName, number>;
+  readonly #parents: ReadonlySet<QuotaName>;
+  readonly #lenders = new Map<QuotaName | undefined, readonly QuotaName[]>();
 
-  constructor(rules: ReadonlyMap<BranchName, BranchRule>) {
+  constructor(rules: ReadonlyMap<QuotaName, QuotaRule>) {
     this.#rules = rules;
-    const below = new Map<BranchName, number>();
+    const below = new Map<QuotaName, number>();
     for (const { parent, share } of rules.values()) if (parent !== undefined) below.set(parent, (below.get(parent) ?? 0) + share);
     this.#parents = new Set([...rules.values()].flatMap(({ parent }) => parent ?? []));
     this.#own = new Map([...rules.keys()].map((name) => [name, this.#whole(name) * Math.max(0, 1 - (below.get(name) ?? 0))]));
   }
 
-  static findings(rules: ReadonlyMap<BranchName, BranchRule>): readonly Finding[] {
+  static findings(rules: ReadonlyMap<QuotaName, QuotaRule>): readonly Finding[] {
     const findings: Finding[] = [];
     const sums = new Map<string, number>();
     for (const [name, rule] of rules) {
@@ -42,27 +42,27 @@
     return findings;
   }
 
-  names(): readonly BranchName[] {
+  names(): readonly QuotaName[] {
     return [...this.#rules.keys()];
   }
 
-  has(name: BranchName): boolean {
+  has(name: QuotaName): boolean {
     return this.#rules.has(name);
   }
 
   /** What is the branch's own of the fleet: its whole, less what its children own. */
-  ownShare(name: BranchName): number {
+  ownShare(name: QuotaName): number {
     return this.#own.get(name) ?? 0;
   }
 
   /** Branches that may lend to this one, nearest relatives first; itself may be among them. */
-  lenders(name: BranchName): readonly BranchName[] {
+  lenders(name: QuotaName): readonly QuotaName[] {
     // From a branch with nothing below it all others are as near as from its parent, so children share one list.
     return this.#lendersAround(this.#parents.has(name) ? name : this.#rules.get(name)?.parent);
   }
 
   /** Worked out when first asked. */
-  #lendersAround(name: BranchName | undefined): readonly BranchName[] {
+  #lendersAround(name: QuotaName | undefined): readonly QuotaName[] {
     const known = this.#lenders.get(name);
     if (known !== undefined) return known;
     const path = new Set(name === undefined ? [] : this.#path(name));
@@ -75,12 +75,12 @@
     return lenders;
   }
 
-  #path(name: BranchName): readonly BranchName[] {
+  #path(name: QuotaName): readonly QuotaName[] {
     const parent = this.#rules.get(name)?.parent;
     return parent === undefined ? [name] : [...this.#path(parent), name];
   }
 
-  #whole(name: BranchName): number {
+  #whole(name: QuotaName): number {
     const rule = this.#rules.get(name);
     if (rule === undefined) return 0;
     return rule.share * (rule.parent === undefined ? 1 : this.#whole(rule.parent));
--- a/packages/rate-limit/src/branchView.ts
+++ b/packages/rate-limit/src/quotaView.ts
@@ -1,12 +1,12 @@
 import * as v from 'valibot';
-import { BranchName } from '@pewterlanding/runtime';
+import { QuotaName } from '@pewterlanding/model';
 import { Cost } from './cost.js';
 
 const Signed = v.strictObject({ requests: v.number(), tokens: v.number() });
 
 /** One branch as operators read it. */
-export const BranchView = v.strictObject({
-  branch: BranchName,
+export const QuotaView = v.strictObject({
+  quota: QuotaName,
   share: v.number(),
   used: Signed,
   lent: Cost,
@@ -14,4 +14,4 @@
   waitingLimit: Cost,
   held: Signed,
 });
-export type BranchView = v.InferOutput<typeof BranchView>;
+export type QuotaView = v.InferOutput<typeof QuotaView>;
--- a/packages/rate-limit/src/reservation.ts
+++ b/packages/rate-limit/src/reservation.ts
@@ -1,9 +1,9 @@
-import type { BranchName } from '@pewterlanding/runtime';
+import type { QuotaName } from '@pewterlanding/model';
 import type { Cost } from './cost.js';
 
 /** What was taken for one item, and from whose purses. */
 export interface Reservation {
-  readonly branch: BranchName;
-  readonly from: BranchName;
+  readonly quota: QuotaName;
+  readonly from: QuotaName;
   readonly cost: Cost;
 }
--- a/packages/rate-limit/test/balances.test.ts
+++ b/packages/rate-limit/test/balances.test.ts
@@ -1,12 +1,12 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { check, BranchName } from '@pewterlanding/runtime';
-import { BranchTree, Counter } from '../src/index.js';
+import { check, QuotaName } from '@pewterlanding/model';
+import { QuotaTree, Counter } from '../src/index.js';
 
-const read = check(BranchName, 'a');
+const read = check(QuotaName, 'a');
 if (!read.ok) throw new Error('a');
 const a = read.value;
-const tree = new BranchTree(new Map([[a, { share: 1, lends: true }]]));
+const tree = new QuotaTree(new Map([[a, { share: 1, lends: true }]]));
 const rules = {
   ceiling: { requests: 600, tokens: 60_000 },
   tree,
--- a/packages/rate-limit/test/bucket.test.ts
+++ b/packages/rate-limit/test/bucket.test.ts
@@ -1,20 +1,20 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { check, BranchName } from '@pewterlanding/runtime';
-import { BranchTree, Bucket, Counter, Purse, takeBoth } from '../src/index.js';
+import { check, QuotaName } from '@pewterlanding/model';
+import { QuotaTree, Bucket, Counter, LocalAllowance, takeBoth } from '../src/index.js';
 import type { CounterRules } from '../src/index.js';
 
-function branch(text: string): BranchName {
-  const read = check(BranchName, text);
+function quota(text: string): QuotaName {
+  const read = check(QuotaName, text);
   if (!read.ok) throw new Error(text);
   return read.value;
 }
 
-const a = branch('a');
-const b = branch('b');
+const a = quota('a');
+const b = quota('b');
 
 function rules(): CounterRules {
-  const tree = new BranchTree(
+  const tree = new QuotaTree(
     new Map([
       [a, { share: 0.5, lends: true }],
       [b, { share: 0.5, lends: true }],
@@ -46,11 +46,11 @@
   });
 
   it('takes from neither bucket when one of them has too little, and says when to come back', () => {
-    const purse = new Purse({ requests: 10, tokens: 1000 }, { requests: 60, tokens: 6000 }, { requests: 10, tokens: 100 }, 0);
-    expect(takeBoth([purse], { requests: 1, tokens: 300 }, 0)).toEqual({ ok: false, retryAfterMs: 2000 });
-    expect(purse.requests.tokens).toEqual(10);
-    expect(takeBoth([purse], { requests: 1, tokens: 300 }, 2000)).toEqual({ ok: true });
-    expect([purse.requests.tokens, purse.tokens.tokens]).toEqual([9, 0]);
+    const allowance = new LocalAllowance({ requests: 10, tokens: 1000 }, { requests: 60, tokens: 6000 }, { requests: 10, tokens: 100 }, 0);
+    expect(takeBoth([allowance], { requests: 1, tokens: 300 }, 0)).toEqual({ ok: false, retryAfterMs: 2000 });
+    expect(allowance.requests.tokens).toEqual(10);
+    expect(takeBoth([allowance], { requests: 1, tokens: 300 }, 2000)).toEqual({ ok: true });
+    expect([allowance.requests.tokens, allowance.tokens.tokens]).toEqual([9, 0]);
   });
 
   it('keeps the fraction of a unit when it is given the same bounds again', () => {
--- a/packages/rate-limit/test/branchTree.test.ts
+++ b/packages/rate-limit/test/quotaTree.test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { BranchName } from '@pewterlanding/runtime';
-import { BranchTree } from '../src/index.js';
+import { QuotaName } from '@pewterlanding/model';
+import { QuotaTree } from '../src/index.js';
 
-const named = (text: string): BranchName => v.parse(BranchName, text);
+const named = (text: string): QuotaName => v.parse(QuotaName, text);
 const under = (parent: string | undefined, share: number, lends = true) => ({
   share,
   lends,
@@ -12,7 +12,7 @@
 });
 
 describe('lenders', () => {
-  const tree = new BranchTree(
+  const tree = new QuotaTree(
     new Map([
       [named('east'), under(undefined, 0.5)],
       [named('west'), under(undefined, 0.5)],
--- a/packages/runtime/src/nodeLog.ts
+++ b/packages/runtime/src/logging/nodeLog.ts
@@ -5,10 +5,10 @@
 export function nodeLog(name: string, level: 'info' | 'warn' | 'error' | 'silent' = 'info'): Log {
   const logger = loglevel.getLogger(name);
   logger.setLevel(level, false);
-  const stamp = (line: string): string => `${new Date().toISOString()} ${name} ${line}`;
+  const clockReading = (line: string): string => `${new Date().toISOString()} ${name} ${line}`;
   return {
-    info: (line) => logger.info(stamp(line)),
-    warn: (line) => logger.warn(stamp(line)),
-    error: (line) => logger.error(stamp(line)),
+    info: (line) => logger.info(clockReading(line)),
+    warn: (line) => logger.warn(clockReading(line)),
+    error: (line) => logger.error(clockReading(line)),
   };
 }
--- a/packages/runtime/src/runProgram.ts
+++ b/packages/runtime/src/process/runProgram.ts
@@ -1,16 +1,16 @@
-import type { Address } from './address.js';
-import type { Boot } from './boot.js';
+import type { Address } from '@pewterlanding/model';
+import type { BootSettings } from '../settings/bootSettings.js';
 import { endOnSignal } from './endOnSignal.js';
-import { errorLine } from './errorLine.js';
-import { FindingsError } from './findingsError.js';
-import { readBoot } from './readBoot.js';
+import { errorLine } from '../logging/errorLine.js';
+import { FindingsError } from '@pewterlanding/model';
+import { readBootSettings } from '../settings/readBootSettings.js';
 import type { Running } from './running.js';
 
 interface Program {
   readonly flags: Readonly<Record<string, unknown>>;
   readonly needs: readonly ('http' | 'beside' | 'dataFolder')[];
-  readonly start: (given: {
-    readonly boot: Boot;
+  readonly start: (granted: {
+    readonly bootSettings: BootSettings;
     readonly http: Address;
     readonly beside: Address;
     readonly dataFolder: string;
@@ -18,7 +18,7 @@
 }
 
 const flags = {
-  boot: { type: 'string' },
+  bootSettings: { type: 'string' },
   fleet: { type: 'string' },
   name: { type: 'string' },
   zone: { type: 'string' },
@@ -35,17 +35,17 @@
 export const runProgram = Object.assign(
   async (program: Program): Promise<void> => {
     try {
-      const { boot: file, seeds, ...given } = program.flags;
-      const overrides = { ...given, seeds: typeof seeds === 'string' ? seeds.split(',') : undefined };
+      const { boot: file, seeds, ...granted } = program.flags;
+      const overrides = { ...granted, seeds: typeof seeds === 'string' ? seeds.split(',') : undefined };
       const known = Object.fromEntries(Object.entries(overrides).filter(([key]) => key in flags));
-      const boot = await readBoot(typeof file === 'string' ? file : undefined, known, program.needs);
+      const bootSettings = await readBootSettings(typeof file === 'string' ? file : undefined, known, program.needs);
       const starting = program.start({
-        boot,
-        http: boot.http ?? boot.listen,
-        beside: boot.beside ?? boot.listen,
-        dataFolder: boot.dataFolder ?? '.',
+        bootSettings,
+        http: bootSettings.http ?? bootSettings.listen,
+        beside: bootSettings.beside ?? bootSettings.listen,
+        dataFolder: bootSettings.dataFolder ?? '.',
       });
-      endOnSignal(starting, boot.graceMs);
+      endOnSignal(starting, bootSettings.graceMs);
       await starting;
     } catch (error) {
       if (error instanceof FindingsError) for (const finding of error.findings) console.error(`boot: ${finding.place}: ${finding.message}`);
--- a/packages/runtime/src/boot.ts
+++ b/packages/runtime/src/settings/bootSettings.ts
@@ -1,10 +1,8 @@
 import * as v from 'valibot';
-import { Address } from './address.js';
-import { NodeName } from './nodeName.js';
-import { ZoneName } from './zoneName.js';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
 
 /** What a process must know before it can ask anybody: its own place. Everything else is setup. */
-export const Boot = v.strictObject({
+export const BootSettings = v.strictObject({
   fleet: v.pipe(v.string(), v.minLength(1), v.maxLength(80)),
   name: NodeName,
   zone: ZoneName,
@@ -27,4 +25,4 @@
   graceMs: v.optional(v.pipe(v.number(), v.minValue(0), v.maxValue(60_000)), 6500),
   logLevel: v.optional(v.picklist(['info', 'warn', 'error', 'silent']), 'info'),
 });
-export type Boot = v.InferOutput<typeof Boot>;
+export type BootSettings = v.InferOutput<typeof BootSettings>;
--- a/packages/runtime/src/readBoot.ts
+++ b/packages/runtime/src/settings/readBootSettings.ts
@@ -1,17 +1,16 @@
 import { readFile } from 'node:fs/promises';
 import * as v from 'valibot';
-import { Boot } from './boot.js';
-import { check } from './check.js';
-import { FindingsError } from './findingsError.js';
+import { BootSettings } from './bootSettings.js';
+import { check, FindingsError } from '@pewterlanding/model';
 
 const Entries = v.record(v.string(), v.unknown());
 
 /** Reads the boot file, lets flags win over it, and throws every finding together. */
-export async function readBoot(
+export async function readBootSettings(
   file: string | undefined,
   flags: Readonly<Record<string, unknown>>,
-  needs: readonly (keyof Boot)[],
-): Promise<Boot> {
+  needs: readonly (keyof BootSettings)[],
+): Promise<BootSettings> {
   let fromFile: Record<string, unknown> = {};
   if (file !== undefined) {
     const text = await readFile(file, 'utf8').catch(() => {
@@ -27,9 +26,9 @@
     if (!entries.ok) throw new FindingsError([{ place: file, message: 'must hold a JSON object' }]);
     fromFile = entries.value;
   }
-  const given = Object.fromEntries(Object.entries(flags).filter(([, value]) => value !== undefined));
-  const all = { ...fromFile, ...given };
-  const read = check(Boot, all);
+  const granted = Object.fromEntries(Object.entries(flags).filter(([, value]) => value !== undefined));
+  const all = { ...fromFile, ...granted };
+  const read = check(BootSettings, all);
   const missing = needs.filter((key) => all[key] === undefined).map((key) => ({ place: key, message: 'is needed by this program' }));
   if (!read.ok || missing.length > 0) {
     const own = read.ok ? [] : read.findings.filter((finding) => !missing.some((need) => need.place === finding.place));
--- a/packages/runtime/src/call.ts
+++ b/packages/runtime/src/transport/call.ts
@@ -4,5 +4,5 @@
 export interface Call<B, R> {
   readonly name: string;
   readonly body: v.GenericSchema<unknown, B>;
-  readonly back: v.GenericSchema<unknown, R>;
+  readonly response: v.GenericSchema<unknown, R>;
 }
--- a/packages/runtime/src/circuit.ts
+++ b/packages/runtime/src/transport/connection.ts
@@ -1,28 +1,28 @@
 import type { Socket } from 'node:net';
 import { Decoder, Encoder } from 'cbor-x';
 import * as v from 'valibot';
-import type { Address } from './address.js';
-import type { Counters } from './counters.js';
+import type { Address } from '@pewterlanding/model';
+import type { Counters } from '../logging/counters.js';
 import { Frame } from './frame.js';
 import { FrameReader } from './frameReader.js';
-import { Hello } from './hello.js';
-import type { WireBounds } from './wireBounds.js';
+import { Handshake } from './handshake.js';
+import type { TransportBounds } from './transportBounds.js';
 
-const wireVersion = 1;
+const transportVersion = 1;
 
-interface CircuitHooks {
-  readonly frame: (frame: Frame, circuit: Circuit) => void;
-  readonly closed: (circuit: Circuit) => void;
+interface ConnectionHooks {
+  readonly frame: (frame: Frame, connection: Connection) => void;
+  readonly closed: (connection: Connection) => void;
   /** The other side has said who it is. */
   readonly greeted?: (from: Address) => void;
 }
 
 /** One TCP circuit. Each side's first frame is its Hello; a wrong fleet, version or shape closes the circuit and is counted. */
-export class Circuit {
+export class Connection {
   readonly #socket: Socket;
   readonly #encoder = new Encoder({ useRecords: false });
   readonly #decoder = new Decoder({ useRecords: false });
-  readonly #bounds: WireBounds;
+  readonly #bounds: TransportBounds;
   readonly #counters: Counters;
   readonly #fleet: string;
   #greeted = false;
@@ -30,10 +30,10 @@
 
   constructor(
     socket: Socket,
-    hello: { readonly fleet: string; readonly from: Hello['from'] },
-    bounds: WireBounds,
+    hello: { readonly fleet: string; readonly from: Handshake['from'] },
+    bounds: TransportBounds,
     counters: Counters,
-    hooks: CircuitHooks,
+    hooks: ConnectionHooks,
   ) {
     this.#socket = socket;
     this.#bounds = bounds;
@@ -52,7 +52,7 @@
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => hooks.closed(this));
-    this.#write({ fleet: hello.fleet, version: wireVersion, from: hello.from });
+    this.#write({ fleet: hello.fleet, version: transportVersion, from: hello.from });
   }
 
   /** How much has come in; as long as that stays the same, nobody may be there. */
@@ -75,14 +75,14 @@
     this.#socket.destroy();
   }
 
-  #read(payload: Buffer, hooks: CircuitHooks): void {
+  #read(payload: Buffer, hooks: ConnectionHooks): void {
     const decoded: unknown = this.#decoder.decode(payload);
     if (this.#greeted) {
       hooks.frame(v.parse(Frame, decoded), this);
       return;
     }
-    const hello = v.parse(Hello, decoded);
-    if (hello.fleet !== this.#fleet || hello.version !== wireVersion) {
+    const hello = v.parse(Handshake, decoded);
+    if (hello.fleet !== this.#fleet || hello.version !== transportVersion) {
       this.#counters.add('wire.turnedAway');
       this.#socket.destroy();
       return;
--- a/packages/runtime/src/tcpWire.ts
+++ b/packages/runtime/src/transport/tcpTransport.ts
@@ -1,16 +1,16 @@
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
-import type { Address } from './address.js';
-import { addressParts } from './addressParts.js';
+import type { Address } from '@pewterlanding/model';
+import { addressParts } from '@pewterlanding/model';
 import type { Call } from './call.js';
-import { Circuit } from './circuit.js';
-import type { Clock } from './clock.js';
-import type { Counters } from './counters.js';
-import { Exchange } from './exchange.js';
-import type { Wire } from './wire.js';
-import type { WireBounds } from './wireBounds.js';
+import { Connection } from './connection.js';
+import type { Clock } from '../clock/clock.js';
+import type { Counters } from '../logging/counters.js';
+import { RequestTracker } from './requestTracker.js';
+import type { Transport } from './transport.js';
+import type { TransportBounds } from './transportBounds.js';
 
-interface TcpWireOptions {
+interface TcpTransportOptions {
   /** Where others dial this process. */
   readonly here: Address;
   /** Where it listens, and from whose host it dials. */
@@ -18,31 +18,31 @@
   readonly fleet: string;
   readonly clock: Clock;
   readonly counters: Counters;
-  readonly bounds?: Partial<WireBounds>;
+  readonly bounds?: Partial<TransportBounds>;
 }
 
 /** The wire over TCP: one circuit to each address dialled, tasks and returns matched through a slab. */
-export class TcpWire implements Wire {
+export class TcpTransport implements Transport {
   readonly here: Address;
   readonly #listen: Address;
   readonly #fleet: string;
   readonly #clock: Clock;
   readonly #counters: Counters;
-  readonly #bounds: WireBounds;
-  readonly #exchange: Exchange<Circuit>;
-  readonly #dialled = new Map<Address, Circuit>();
+  readonly #bounds: TransportBounds;
+  readonly #requests: RequestTracker<Connection>;
+  readonly #dialled = new Map<Address, Connection>();
   readonly #sockets = new Set<Socket>();
   /** On which circuits something was asked since bytes last came in, how many had come in by then, and when that was. */
-  readonly #unanswered = new WeakMap<Circuit, { readonly bytes: number; readonly sinceMs: number }>();
+  readonly #unanswered = new WeakMap<Connection, { readonly bytes: number; readonly sinceMs: number }>();
   #server: Server | undefined;
 
-  constructor(options: TcpWireOptions) {
+  constructor(options: TcpTransportOptions) {
     this.here = options.here;
     this.#listen = options.listen;
     this.#fleet = options.fleet;
     this.#clock = options.clock;
     this.#counters = options.counters;
-    this.#exchange = new Exchange(options.clock, options.counters);
+    this.#requests = new RequestTracker(options.clock, options.counters);
     this.#bounds = { maxFrameBytes: 16 << 20, maxQueueBytes: 32 << 20, dialMs: 1000, ...options.bounds };
   }
 
@@ -62,36 +62,36 @@
   }
 
   serve<B, R>(call: Call<B, R>, handle: (body: B) => Promise<R>): void {
-    this.#exchange.serve(call, handle);
+    this.#requests.serve(call, handle);
   }
 
   ask<B, R>(to: Address, call: Call<B, R>, body: B, waitMs: number): Promise<R> {
-    const circuit = this.#circuitTo(to);
-    const unanswered = this.#unanswered.get(circuit);
-    if (unanswered?.bytes !== circuit.bytes) this.#unanswered.set(circuit, { bytes: circuit.bytes, sinceMs: this.#clock.nowMs() });
-    const back = this.#exchange.ask(circuit, (frame) => circuit.send(frame), call, body, waitMs);
-    back.catch(() => this.#doubt(to, circuit, this.#bounds.dialMs));
-    return back;
+    const connection = this.#connectionTo(to);
+    const unanswered = this.#unanswered.get(connection);
+    if (unanswered?.bytes !== connection.bytes) this.#unanswered.set(connection, { bytes: connection.bytes, sinceMs: this.#clock.nowMs() });
+    const response = this.#requests.ask(connection, (frame) => connection.send(frame), call, body, waitMs);
+    response.catch(() => this.#doubt(to, connection, this.#bounds.dialMs));
+    return response;
   }
 
   tell<B, R>(to: Address, call: Call<B, R>, body: B): void {
-    this.#circuitTo(to).send({ t: 'tell', call: call.name, body });
+    this.#connectionTo(to).send({ kind: 'tell', call: call.name, body });
   }
 
   /**
    * What was sent to a machine that lost its power is sent again ever more rarely, so that a circuit of before holds up
    * whatever follows long after the machine is back. One that brought nothing for so long ends, and the next word dials anew.
    */
-  #doubt(to: Address, circuit: Circuit, patienceMs: number): void {
-    const unanswered = this.#unanswered.get(circuit);
-    if (unanswered === undefined || unanswered.bytes !== circuit.bytes || this.#clock.nowMs() - unanswered.sinceMs < patienceMs) return;
+  #doubt(to: Address, connection: Connection, patienceMs: number): void {
+    const unanswered = this.#unanswered.get(connection);
+    if (unanswered === undefined || unanswered.bytes !== connection.bytes || this.#clock.nowMs() - unanswered.sinceMs < patienceMs) return;
     this.#counters.add('wire.abandoned');
-    this.#unanswered.delete(circuit);
-    this.#forget(to, circuit);
-    circuit.close();
+    this.#unanswered.delete(connection);
+    this.#forget(to, connection);
+    connection.close();
   }
 
-  #circuitTo(to: Address): Circuit {
+  #connectionTo(to: Address): Connection {
     const known = this.#dialled.get(to);
     if (known !== undefined) return known;
     const { host, port } = addressParts(to);
@@ -105,33 +105,33 @@
       connected = true;
       cancel();
     });
-    const circuit = this.#adopt(socket, (gone) => {
+    const connection = this.#adopt(socket, (gone) => {
       cancel();
       this.#forget(to, gone);
       // What waited for a dial that failed was never sent.
-      this.#exchange.lost(gone, connected);
+      this.#requests.lost(gone, connected);
     });
-    this.#dialled.set(to, circuit);
-    return circuit;
+    this.#dialled.set(to, connection);
+    return connection;
   }
 
   /** Only this circuit: another may have been dialled in its place. */
-  #forget(to: Address, circuit: Circuit): void {
-    if (this.#dialled.get(to) === circuit) this.#dialled.delete(to);
+  #forget(to: Address, connection: Connection): void {
+    if (this.#dialled.get(to) === connection) this.#dialled.delete(to);
   }
 
-  #adopt(socket: Socket, closed: (circuit: Circuit) => void = (circuit) => this.#exchange.lost(circuit)): Circuit {
+  #adopt(socket: Socket, closed: (connection: Connection) => void = (connection) => this.#requests.lost(connection)): Connection {
     this.#sockets.add(socket);
-    return new Circuit(socket, { fleet: this.#fleet, from: this.here }, this.#bounds, this.#counters, {
-      frame: (frame, circuit) => this.#exchange.take(frame, (reply) => circuit.send(reply)),
+    return new Connection(socket, { fleet: this.#fleet, from: this.here }, this.#bounds, this.#counters, {
+      frame: (frame, connection) => this.#requests.take(frame, (reply) => connection.send(reply)),
       greeted: (from) => {
         // Who dials here is up: a circuit to it that is silent for a while is one to its former life.
         const dialled = this.#dialled.get(from);
         if (dialled !== undefined) this.#doubt(from, dialled, this.#bounds.dialMs / 4);
       },
-      closed: (circuit) => {
+      closed: (connection) => {
         this.#sockets.delete(socket);
-        closed(circuit);
+        closed(connection);
       },
     });
   }
--- a/packages/runtime/src/wire.ts
+++ b/packages/runtime/src/transport/transport.ts
@@ -1,8 +1,8 @@
-import type { Address } from './address.js';
+import type { Address } from '@pewterlanding/model';
 import type { Call } from './call.js';
 
 /** How processes talk. A failed `ask` says nothing of whether the other side acted. */
-export interface Wire {
+export interface Transport {
   readonly here: Address;
   ask<B, R>(to: Address, call: Call<B, R>, body: B, waitMs: number): Promise<R>;
   tell<B, R>(to: Address, call: Call<B, R>, body: B): void;
--- a/packages/runtime/test/settings.test.ts
+++ b/packages/runtime/test/settings.test.ts
@@ -4,7 +4,8 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Boot, Bounds, BranchRule, Limits, Route, Service, Setup } from '../src/index.js';
+import { Bounds, QuotaRule, Limits, Route, Service, Configuration } from '@pewterlanding/model';
+import { BootSettings } from '../src/index.js';
 
 const page = readFileSync(join(dirname(fileURLToPath(import.meta.url)), '../../../../docs/settings.md'), 'utf8');
 const Entry = v.object({ type: v.string(), default: v.optional(v.unknown()) });
@@ -21,18 +22,18 @@
 function rowsIn(entries: Readonly<Record<string, unknown>>): readonly string[] {
   return Object.entries(entries).map(([name, schema]) => {
     const entry = v.parse(Entry, schema);
-    const given = entry.type !== 'optional' ? 'needed' : entry.default === undefined ? 'none' : JSON.stringify(entry.default);
-    return `${name} ${given}`;
+    const granted = entry.type !== 'optional' ? 'needed' : entry.default === undefined ? 'none' : JSON.stringify(entry.default);
+    return `${name} ${granted}`;
   });
 }
 
 describe('the page of settings', () => {
   for (const [section, schema] of [
-    ['Boot', Boot],
-    ['Setup', Setup],
+    ['Boot', BootSettings],
+    ['Setup', Configuration],
     ['Bounds', Bounds],
     ['Services', Service],
-    ['Branches', BranchRule],
+    ['Branches', QuotaRule],
     ['Routes', Route],
     ['Limits', Limits],
   ] as const) {
--- a/programs/agent/src/agent.ts
+++ b/programs/agent/src/agent.ts
@@ -1,20 +1,21 @@
 import * as v from 'valibot';
-import type { Address, Clock, Counters, Log, Wire } from '@pewterlanding/runtime';
-import { every, WireError } from '@pewterlanding/runtime';
-import { NewsReader } from '@pewterlanding/membership';
-import type { Card, Membership, News } from '@pewterlanding/membership';
-import { agentCalls } from './agentCalls.js';
-import type { Draw } from './draw.js';
-import { Duty } from './duty.js';
-import { agentToControllerCalls } from './agentToControllerCalls.js';
-import { newsKeys } from './newsKeys.js';
-import { Stamp } from './stamp.js';
-import type { Settlement } from './settlement.js';
+import type { Address } from '@pewterlanding/model';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
+import { every, TransportError } from '@pewterlanding/runtime';
+import { UpdateReader } from '@pewterlanding/membership';
+import type { NodeRecord, Membership, Update } from '@pewterlanding/membership';
+import { agentCalls } from './feed/agentCalls.js';
+import type { QuotaRequest } from './calls/quotaRequest.js';
+import { SingletonRole } from './feed/singletonRole.js';
+import { agentToControllerCalls } from './calls/agentToControllerCalls.js';
+import { updateKeys } from './feed/updateKeys.js';
+import { ClockReading } from './feed/clockReading.js';
+import type { Settlement } from './calls/settlement.js';
 
 interface AgentOptions {
   readonly membership: Membership;
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly transport: Transport;
   /** The proxy beside it. */
   readonly proxy: Address;
   readonly heartbeatMs: number;
@@ -23,74 +24,74 @@
 }
 
 /** All fronts together tell their use about so often in a beat: what a node hears of it must not grow with the number of fronts. */
-const usesPerBeat = 32;
+const usesPerHeartbeat = 32;
 /** A front's use that has not changed is told again after so many of its turns. */
 const tellAnewTurns = 8;
 /** What a front holds, where it has not changed, is told again after so many beats. */
-const tellAnewBeats = 8;
+const tellAnewHeartbeats = 8;
 /** So much of a beat lies between two feeds of other fronts' use. */
 const soonRatio = 1 / 4;
 /** Without a stamp from the tree for so many beats, the controller is asked directly. */
-const patienceBeats = 4;
+const patienceHeartbeats = 4;
 
-type Held = v.InferOutput<typeof agentCalls.feed.back>;
-const joiningSetup = v.object({ setup: v.object({ joining: v.optional(v.boolean(), false) }) });
+type Held = v.InferOutput<typeof agentCalls.feed.response>;
+const joiningConfiguration = v.object({ configuration: v.object({ joining: v.optional(v.boolean(), false) }) });
 
 /** The agent beside a proxy: feeds it the news, and carries its words to the controller. */
 export class Agent {
   readonly #options: AgentOptions;
   readonly #stop: () => void;
-  #pending: News[] = [];
+  #pending: Update[] = [];
   #feeding = false;
   #fedMs = Number.NEGATIVE_INFINITY;
   readonly #startedMs: number;
   #turn = 0;
-  #untoldBeats = 0;
+  #untoldHeartbeats = 0;
   #toldVersion = -1;
   #toldHeld = '';
-  #heldBeats = 0;
-  #unfreshBeats = 0;
-  readonly #setup = NewsReader.of(joiningSetup);
+  #heldHeartbeats = 0;
+  #unfreshHeartbeats = 0;
+  readonly #configuration = UpdateReader.of(joiningConfiguration);
   #asking = false;
   #cancelSoon: (() => void) | undefined;
   #proxyHeard = false;
   #left = false;
-  #life = '';
+  #instance = '';
   #whole = true;
 
   constructor(options: AgentOptions) {
     this.#options = options;
-    const { membership, wire, clock } = options;
+    const { membership, transport, clock } = options;
     this.#startedMs = Math.floor(clock.wallMs());
-    const ownUse = newsKeys.use(membership.name);
-    membership.onNews((news, sent) => {
+    const ownUse = updateKeys.use(membership.name);
+    membership.onUpdate((update, sent) => {
       // What the proxy said itself it need not be told.
-      if (news.key === ownUse) return;
+      if (update.key === ownUse) return;
       this.#pending.push(sent);
       // Other fronts' use changes all the time, the more the more fronts there are: it waits for company.
-      if (news.key.startsWith(newsKeys.uses)) this.#feedSoon();
+      if (update.key.startsWith(updateKeys.uses)) this.#feedSoon();
       // Let all that came in one message go on in one.
       else void Promise.resolve().then(() => this.#feed(false));
     });
-    wire.serve(agentCalls.tell, async ({ news }) => {
-      for (const one of news) membership.put(one);
+    transport.serve(agentCalls.tell, async ({ updates }) => {
+      for (const one of updates) membership.put(one);
       return {};
     });
-    wire.serve(agentCalls.draw, (draw) => this.#draw(draw));
-    wire.serve(agentCalls.settle, async ({ settled }) => {
+    transport.serve(agentCalls.requestQuota, (quotaRequest) => this.#draw(quotaRequest));
+    transport.serve(agentCalls.settle, async ({ settled }) => {
       this.#settle(settled);
       return {};
     });
-    wire.serve(agentCalls.lease, async (body) => {
-      const duty = this.duty();
+    transport.serve(agentCalls.lease, async (body) => {
+      const singletonRole = this.singletonRole();
       // A dispatcher that was overtaken leases nothing any more.
-      if (duty !== undefined && body.epoch < duty.epoch) {
+      if (singletonRole !== undefined && body.term < singletonRole.term) {
         options.counters.add('agent.staleLease');
-        return { taken: false, epoch: duty.epoch };
+        return { taken: false, term: singletonRole.term };
       }
-      return wire.ask(options.proxy, agentCalls.lease, body, options.heartbeatMs * 2);
+      return transport.ask(options.proxy, agentCalls.lease, body, options.heartbeatMs * 2);
     });
-    wire.serve(agentCalls.leave, async () => {
+    transport.serve(agentCalls.leave, async () => {
       this.#left = true;
       membership.leave();
       return {};
@@ -108,8 +109,8 @@
     return this.#proxyHeard;
   }
 
-  duty(): Duty | undefined {
-    const read = v.safeParse(Duty, this.#options.membership.board.get(newsKeys.duty('dispatch'))?.value);
+  singletonRole(): SingletonRole | undefined {
+    const read = v.safeParse(SingletonRole, this.#options.membership.stateTable.get(updateKeys.singletonRole('dispatch'))?.value);
     return read.success ? read.output : undefined;
   }
 
@@ -128,22 +129,22 @@
     });
   }
 
-  async #feed(beat: boolean): Promise<void> {
+  async #feed(heartbeat: boolean): Promise<void> {
     // One feed at a time: news that comes meanwhile goes with the next.
     if (this.#feeding) return;
     this.#feeding = true;
-    let unsure: readonly News[] = [];
+    let unsure: readonly Update[] = [];
     try {
-      let told = !beat;
+      let told = !heartbeat;
       do {
         const whole = this.#whole;
-        const news = whole ? [...this.#options.membership.board.withPrefix('')] : this.#pending;
+        const updates = whole ? [...this.#options.membership.stateTable.withPrefix('')] : this.#pending;
         this.#pending = [];
-        unsure = news;
-        const back = await this.#feedOnce(whole, news);
-        if (!told) this.#tell(back);
+        unsure = updates;
+        const response = await this.#feedOnce(whole, updates);
+        if (!told) this.#tell(response);
         // A version is in force when the controller knows that all fronts hold it: that must not wait for a beat.
-        else if (back.version !== this.#toldVersion) this.#tellHeld(back);
+        else if (response.version !== this.#toldVersion) this.#tellHeld(response);
         told = true;
       } while (this.#pending.length > 0);
     } catch {
@@ -158,78 +159,84 @@
     }
   }
 
-  async #feedOnce(whole: boolean, news: readonly News[]): Promise<Held> {
-    const { membership, wire, clock, proxy, heartbeatMs, counters } = this.#options;
+  async #feedOnce(whole: boolean, updates: readonly Update[]): Promise<Held> {
+    const { membership, transport, clock, proxy, heartbeatMs, counters } = this.#options;
     counters.add('agent.feeds');
     this.#fedMs = clock.nowMs();
-    const back = await wire.ask(proxy, agentCalls.feed, { whole, news: [...news] }, heartbeatMs * 4);
+    const response = await transport.ask(proxy, agentCalls.feed, { whole, updates: [...updates] }, heartbeatMs * 4);
     if (!this.#proxyHeard) this.#options.log.info('the proxy beside is heard');
     this.#proxyHeard = true;
     // A proxy that began a new life, or holds something else than what it was fed, gets everything again.
-    this.#whole = back.life !== this.#life || (this.#pending.length === 0 && back.checksum !== membership.board.checksum);
-    this.#life = back.life;
-    return back;
+    this.#whole =
+      response.instance !== this.#instance || (this.#pending.length === 0 && response.checksum !== membership.stateTable.checksum);
+    this.#instance = response.instance;
+    return response;
   }
 
   /** Once a beat: the proxy's use to all, its version to the controller. What was lost on the way is told anew before long. */
-  #tell(back: Held): void {
+  #tell(response: Held): void {
     const { membership } = this.#options;
-    const key = newsKeys.use(membership.name);
-    this.#untoldBeats += 1;
+    const key = updateKeys.use(membership.name);
+    this.#untoldHeartbeats += 1;
     const live = membership.live();
-    const turnBeats = Math.ceil(live.filter((card) => card.role === 'agent').length / usesPerBeat);
-    const changed = JSON.stringify(membership.board.get(key)?.value) !== JSON.stringify(back.use);
-    if (this.#untoldBeats >= (changed ? 1 : tellAnewTurns) * turnBeats) {
+    const turnHeartbeats = Math.ceil(live.filter((nodeRecord) => nodeRecord.role === 'agent').length / usesPerHeartbeat);
+    const changed = JSON.stringify(membership.stateTable.get(key)?.value) !== JSON.stringify(response.use);
+    if (this.#untoldHeartbeats >= (changed ? 1 : tellAnewTurns) * turnHeartbeats) {
       this.#turn += 1;
-      this.#untoldBeats = 0;
-      membership.put({ key, version: [this.#startedMs, this.#turn], volatile: true, value: back.use });
+      this.#untoldHeartbeats = 0;
+      membership.put({ key, version: [this.#startedMs, this.#turn], volatile: true, value: response.use });
     }
-    this.#heldBeats += 1;
+    this.#heldHeartbeats += 1;
     // Under a joining setup nobody's freshness runs out, so controllers need only what changed: else each hears every front each beat.
-    if (!this.#joining() || `${back.version} ${back.stamp.life}` !== this.#toldHeld || this.#heldBeats >= tellAnewBeats)
-      this.#tellHeld(back);
-    void this.#askFresh(back);
+    if (
+      !this.#joining() ||
+      `${response.version} ${response.clockReading.instance}` !== this.#toldHeld ||
+      this.#heldHeartbeats >= tellAnewHeartbeats
+    )
+      this.#tellHeld(response);
+    void this.#askFresh(response);
   }
 
-  #tellHeld({ version, stamp }: Held): void {
-    const { membership, wire, counters } = this.#options;
+  #tellHeld({ version, clockReading }: Held): void {
+    const { membership, transport, counters } = this.#options;
     counters.add('agent.heldTold');
     this.#toldVersion = version;
-    this.#toldHeld = `${version} ${stamp.life}`;
-    this.#heldBeats = 0;
+    this.#toldHeld = `${version} ${clockReading.instance}`;
+    this.#heldHeartbeats = 0;
     for (const { role, address } of membership.live())
-      if (role === 'controller') wire.tell(address, agentToControllerCalls.held, { front: membership.name, version, stamp });
+      if (role === 'controller') transport.tell(address, agentToControllerCalls.held, { front: membership.name, version, clockReading });
   }
 
   #joining(): boolean {
-    return this.#setup.read(this.#options.membership.board.get(newsKeys.setup))?.setup.joining === true;
+    return this.#configuration.read(this.#options.membership.stateTable.get(updateKeys.configuration))?.configuration.joining === true;
   }
 
   /** Where the tree does not bring the setup leader's word, the front asks for it: freshness must not hang on one relay. */
-  async #askFresh({ version, stamp }: Held): Promise<void> {
-    const { membership, wire, heartbeatMs, counters } = this.#options;
-    const own = v.safeParse(Stamp, membership.board.get(newsKeys.fresh)?.byNode?.[membership.name]);
+  async #askFresh({ version, clockReading }: Held): Promise<void> {
+    const { membership, transport, heartbeatMs, counters } = this.#options;
+    const own = v.safeParse(ClockReading, membership.stateTable.get(updateKeys.fresh)?.byNode?.[membership.name]);
     const joining = this.#joining();
-    const patience = joining ? patienceBeats * tellAnewBeats : patienceBeats;
-    const lately = own.success && own.output.life === stamp.life && stamp.atMs - own.output.atMs < heartbeatMs * patience;
-    this.#unfreshBeats = lately ? 0 : this.#unfreshBeats + 1;
-    if (lately || this.#asking || (joining && this.#unfreshBeats < patience)) return;
-    this.#unfreshBeats = 0;
+    const patience = joining ? patienceHeartbeats * tellAnewHeartbeats : patienceHeartbeats;
+    const lately =
+      own.success && own.output.instance === clockReading.instance && clockReading.atMs - own.output.atMs < heartbeatMs * patience;
+    this.#unfreshHeartbeats = lately ? 0 : this.#unfreshHeartbeats + 1;
+    if (lately || this.#asking || (joining && this.#unfreshHeartbeats < patience)) return;
+    this.#unfreshHeartbeats = 0;
     this.#asking = true;
     counters.add('agent.askedFresh');
-    const controllers = membership.live().filter((card) => card.role === 'controller');
-    const word = { front: membership.name, version, stamp };
-    const ask = ({ address }: Card) =>
-      wire.ask(address, agentToControllerCalls.fresh, word, heartbeatMs * patienceBeats).catch(() => undefined);
-    for (const back of await Promise.all(controllers.map(ask))) {
-      if (back === undefined) continue;
+    const controllers = membership.live().filter((nodeRecord) => nodeRecord.role === 'controller');
+    const word = { front: membership.name, version, clockReading };
+    const ask = ({ address }: NodeRecord) =>
+      transport.ask(address, agentToControllerCalls.fresh, word, heartbeatMs * patienceHeartbeats).catch(() => undefined);
+    for (const response of await Promise.all(controllers.map(ask))) {
+      if (response === undefined) continue;
       // For this proxy alone: on the board it would pass for the word that carries everybody's stamp.
-      const byNode = { [membership.name]: back.stamp };
+      const byNode = { [membership.name]: response.clockReading };
       this.#pending.push({
-        key: newsKeys.fresh,
-        version: [back.epoch, back.count],
+        key: updateKeys.fresh,
+        version: [response.term, response.count],
         volatile: true,
-        value: { version: back.version },
+        value: { version: response.version },
         byNode,
       });
     }
@@ -237,21 +244,22 @@
     if (this.#pending.length > 0) await this.#feed(false);
   }
 
-  async #draw(draw: Omit<Draw, 'front'>) {
-    const duty = this.duty();
-    if (duty === undefined) throw new WireError('silent', 'nobody holds the counter');
-    const drawn = await this.#options.wire.ask(
-      duty.address,
-      agentToControllerCalls.draw,
-      { ...draw, front: this.#options.membership.name },
+  async #draw(quotaRequest: Omit<QuotaRequest, 'front'>) {
+    const singletonRole = this.singletonRole();
+    if (singletonRole === undefined) throw new TransportError('silent', 'nobody holds the counter');
+    const quotaGrant = await this.#options.transport.ask(
+      singletonRole.address,
+      agentToControllerCalls.requestQuota,
+      { ...quotaRequest, front: this.#options.membership.name },
       this.#options.heartbeatMs * 2,
     );
-    if (drawn.epoch < (this.duty()?.epoch ?? 0)) throw new WireError('refused', 'a counter of an older epoch');
-    return drawn;
+    if (quotaGrant.term < (this.singletonRole()?.term ?? 0)) throw new TransportError('refused', 'a counter of an older epoch');
+    return quotaGrant;
   }
 
   #settle(settled: readonly Settlement[]): void {
-    const duty = this.duty();
-    if (duty !== undefined) this.#options.wire.tell(duty.address, agentToControllerCalls.settle, { settled: [...settled] });
+    const singletonRole = this.singletonRole();
+    if (singletonRole !== undefined)
+      this.#options.transport.tell(singletonRole.address, agentToControllerCalls.settle, { settled: [...settled] });
   }
 }
--- a/programs/agent/src/leaseOffer.ts
+++ b/programs/agent/src/calls/leaseOffer.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { BranchName, Count, ItemId, RouteName, ServiceName } from '@pewterlanding/runtime';
+import { QuotaName, Count, ItemId, RouteName, ServiceName } from '@pewterlanding/model';
 import { ItemRef, Lease } from '@pewterlanding/store';
 
 /** One leased item on its way to a front. */
@@ -7,7 +7,7 @@
   shard: v.string(),
   ref: ItemRef,
   lease: Lease,
-  branch: BranchName,
+  quota: QuotaName,
   service: ServiceName,
   tokens: Count,
   input: v.string(),
--- /dev/null
+++ b/programs/agent/src/calls/quotaGrant.ts
@@ -0,0 +1,10 @@
+import * as v from 'valibot';
+import { QuotaName, Count } from '@pewterlanding/model';
+import { Cost } from '@pewterlanding/rate-limit';
+
+/** The counter's word to a front, under the counter's epoch. */
+export const QuotaGrant = v.strictObject({
+  term: Count,
+  granted: v.array(v.strictObject({ quota: QuotaName, granted: Cost, retryAfterMs: v.number() })),
+});
+export type QuotaGrant = v.InferOutput<typeof QuotaGrant>;
--- a/programs/agent/src/settlement.ts
+++ b/programs/agent/src/calls/settlement.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count, ServiceName } from '@pewterlanding/runtime';
+import { Count, ServiceName } from '@pewterlanding/model';
 import { ItemRef, Lease } from '@pewterlanding/store';
 
 /** How a lease ended, for the counter: what it used, or nothing if it did not run. */
--- a/programs/agent/src/allowsReplica.ts
+++ b/programs/agent/src/feed/allowsReplica.ts
@@ -1,5 +1,5 @@
-import { addressParts } from '@pewterlanding/runtime';
-import type { Service } from '@pewterlanding/runtime';
+import { addressParts } from '@pewterlanding/model';
+import type { Service } from '@pewterlanding/model';
 import type { Replica } from './replica.js';
 
 /** Whether operators let a replica of this host and size serve. */
--- a/programs/agent/src/replica.ts
+++ b/programs/agent/src/feed/replica.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Address, Count, ServiceName, ZoneName } from '@pewterlanding/runtime';
+import { Address, Count, ServiceName, ZoneName } from '@pewterlanding/model';
 
 /** A replica as it announced itself. */
 export const Replica = v.strictObject({
@@ -10,7 +10,7 @@
   /** Orders the words of one address, or of one life where it has one. */
   incarnation: Count,
   /** The name of this life of the replica; another life at the same address is another replica. */
-  life: v.optional(v.pipe(v.string(), v.regex(/^[\x21-\x7e]{1,128}$/))),
+  instance: v.optional(v.pipe(v.string(), v.regex(/^[\x21-\x7e]{1,128}$/))),
   /** Models it serves. */
   models: v.optional(v.array(v.string())),
   /** `silent`: controllers have not heard it for so long that it is taken to be gone. */
--- a/programs/agent/src/newsKeys.ts
+++ b/programs/agent/src/feed/updateKeys.ts
@@ -1,15 +1,15 @@
 /** Keys of the news that the fleet shares beside nodes and seats. */
-export const newsKeys = {
+export const updateKeys = {
   /** Nodes' cards, which the acquaintance itself tells. */
   nodes: 'node/',
   node: (name: string): string => `node/${name}`,
-  setup: 'setup',
+  configuration: 'setup',
   fresh: 'fresh',
   /** Who holds a duty, under which epoch. */
-  duty: (name: string): string => `duty/${name}`,
+  singletonRole: (name: string): string => `duty/${name}`,
   replicas: 'replica/',
   /** By address, or by life where the replica names one. */
-  replica: (service: string, addressOrLife: string): string => `replica/${service}/${addressOrLife}`,
+  replica: (service: string, addressOrInstance: string): string => `replica/${service}/${addressOrInstance}`,
   /** What the service's part keeps of it. */
   service: (name: string): string => `service/${name}`,
   /** What the counter learned of a service's output. */
--- a/programs/agent/src/usage.ts
+++ b/programs/agent/src/feed/usage.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count, ServiceName } from '@pewterlanding/runtime';
+import { Count, ServiceName } from '@pewterlanding/model';
 
 /** A service's usual output, as the counter learned it from settled leases. */
 export const Usage = v.strictObject({ service: ServiceName, outputTokens: Count });
--- a/programs/agent/src/startAgent.ts
+++ b/programs/agent/src/startAgent.ts
@@ -1,31 +1,38 @@
 import { startMembership } from '@pewterlanding/membership';
-import { Counters, nodeLog, pause, StartupTimeline, SystemClock, TcpWire } from '@pewterlanding/runtime';
-import type { Address, Boot, Running } from '@pewterlanding/runtime';
+import { Counters, nodeLog, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { BootSettings, Running } from '@pewterlanding/runtime';
 import { Agent } from './agent.js';
-import { newsKeys } from './newsKeys.js';
+import { updateKeys } from './feed/updateKeys.js';
 
 interface StartAgentOptions {
-  readonly boot: Boot;
+  readonly bootSettings: BootSettings;
   /** The proxy's own address. */
   readonly beside: Address;
 }
 
 /** A agent put together and listening. */
-export async function startAgent({ boot, beside }: StartAgentOptions): Promise<Running> {
+export async function startAgent({ bootSettings, beside }: StartAgentOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
-  const log = nodeLog(`${boot.name}/agent`, boot.logLevel);
+  const log = nodeLog(`${bootSettings.name}/agent`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const wire = new TcpWire({ here: boot.advertise ?? boot.listen, listen: boot.listen, fleet: boot.fleet, clock, counters });
-  const membership = startMembership(boot, 'agent', { clock, wire, counters, log });
-  const agent = new Agent({ membership, clock, wire, proxy: beside, heartbeatMs: boot.heartbeatMs, counters, log });
-  await wire.listen();
+  const transport = new TcpTransport({
+    here: bootSettings.advertise ?? bootSettings.listen,
+    listen: bootSettings.listen,
+    fleet: bootSettings.fleet,
+    clock,
+    counters,
+  });
+  const membership = startMembership(bootSettings, 'agent', { clock, transport, counters, log });
+  const agent = new Agent({ membership, clock, transport, proxy: beside, heartbeatMs: bootSettings.heartbeatMs, counters, log });
+  await transport.listen();
   timeline.reach('listening');
   timeline.await('first peer heard', () => membership.live().length > 1);
-  timeline.await('configuration held', () => membership.board.get(newsKeys.setup) !== undefined);
-  timeline.await('replicas known', () => !membership.board.withPrefix(newsKeys.replicas).next().done);
-  membership.onNews(() => timeline.look());
+  timeline.await('configuration held', () => membership.stateTable.get(updateKeys.configuration) !== undefined);
+  timeline.await('replicas known', () => !membership.stateTable.withPrefix(updateKeys.replicas).next().done);
+  membership.onUpdate(() => timeline.look());
   return {
     leave: async (graceMs) => {
       // The proxy gets the same signal and needs its news until it has finished.
@@ -34,7 +41,7 @@
       membership.leave();
       await pause(clock, 50);
       agent.close();
-      wire.close();
+      transport.close();
     },
   };
 }
--- a/programs/controller/src/auditArchive.ts
+++ b/programs/controller/src/audit/auditArchive.ts
@@ -1,9 +1,10 @@
 import * as v from 'valibot';
-import type { Address, Clock, Counters, Disk, Wire } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { Clock, Counters, Disk, Transport } from '@pewterlanding/runtime';
 import { every, Journal, SerialQueue } from '@pewterlanding/runtime';
 import type { AuditHead } from './auditHead.js';
 import { AuditLine } from './auditLine.js';
-import { controllerCalls } from './controllerCalls.js';
+import { controllerCalls } from '../controllerCalls.js';
 
 const file = 'setup.audit';
 /** Lines asked of another controller at once: a few hundred kilobytes, far below what one message may hold. */
@@ -11,7 +12,7 @@
 
 interface AuditArchiveOptions {
   readonly disk: Disk;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly failureTimeoutMs: number;
@@ -40,7 +41,7 @@
     this.#options = options;
     this.#journal = new Journal(options.disk, file);
     this.#queue.run(() => this.#open()).catch(() => options.counters.add('controller.auditUnreadable'));
-    options.wire.serve(controllerCalls.auditLines, async ({ after, most }) => ({ lines: [...(await this.#held(after, most))] }));
+    options.transport.serve(controllerCalls.auditLines, async ({ after, limit }) => ({ lines: [...(await this.#held(after, limit))] }));
     this.#stop = every(options.clock, options.failureTimeoutMs, () => this.#fill());
   }
 
@@ -54,10 +55,10 @@
   }
 
   /** The newest lines in order, up to the end of the trail, asking other controllers for what this machine lacks. */
-  async newest(most: number): Promise<readonly AuditLine[]> {
+  async newest(limit: number): Promise<readonly AuditLine[]> {
     this.keep(this.#options.head().newest);
     await this.#fill();
-    return this.#held(Math.max(0, this.#options.head().entries - most), most);
+    return this.#held(Math.max(0, this.#options.head().entries - limit), limit);
   }
 
   async #open(): Promise<void> {
@@ -87,14 +88,14 @@
   }
 
   /** Read from the file each time: the trail of a day is long, and seldom asked for. */
-  #held(after: number, most: number): Promise<readonly AuditLine[]> {
+  #held(after: number, limit: number): Promise<readonly AuditLine[]> {
     return this.#queue.run(async () => {
       const byVersion = new Map<number, AuditLine>();
       for (const line of readLines((await this.#journal.open()).records)) byVersion.set(line.confirmation.version, line);
       return [...byVersion.values()]
         .filter(({ confirmation }) => confirmation.version > after)
         .sort((a, b) => a.confirmation.version - b.confirmation.version)
-        .slice(0, most);
+        .slice(0, limit);
     });
   }
 
@@ -107,15 +108,15 @@
   }
 
   async #ask(): Promise<void> {
-    const { wire, peers, head, failureTimeoutMs, counters } = this.#options;
+    const { transport, peers, head, failureTimeoutMs, counters } = this.#options;
     // What was told to be kept is on the disk before it is missed.
     await this.#queue.run(async () => undefined);
     for (const peer of peers()) {
       while (this.#through < head().entries) {
         const before = this.#through;
-        const body = { after: before, most: linesAtOnce };
-        const back = await wire.ask(peer, controllerCalls.auditLines, body, failureTimeoutMs).catch(() => undefined);
-        this.keep(back?.lines ?? []);
+        const body = { after: before, limit: linesAtOnce };
+        const response = await transport.ask(peer, controllerCalls.auditLines, body, failureTimeoutMs).catch(() => undefined);
+        this.keep(response?.lines ?? []);
         await this.#queue.run(async () => undefined);
         if (this.#through === before) break;
         counters.add('controller.auditFilled');
--- a/programs/controller/src/auditEntry.ts
+++ b/programs/controller/src/audit/auditEntry.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count, PlanId } from '@pewterlanding/runtime';
+import { Count, PlanId } from '@pewterlanding/model';
 
 /** What is signed of one confirmed setup. `previous` is the SHA-256 of the signed entry before it, so none can go or move. */
 export const AuditEntry = v.strictObject({
--- a/programs/controller/src/auditHead.ts
+++ b/programs/controller/src/audit/auditHead.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 import { auditHash } from './auditHash.js';
 import { AuditLine } from './auditLine.js';
 
--- a/programs/controller/src/auditService.ts
+++ b/programs/controller/src/audit/auditService.ts
@@ -2,20 +2,20 @@
 import { AuditArchive } from './auditArchive.js';
 import { auditHash } from './auditHash.js';
 import type { AuditSigner } from './auditSigner.js';
-import { controllerCalls } from './controllerCalls.js';
+import { controllerCalls } from '../controllerCalls.js';
 import { nextEntry } from './nextEntry.js';
-import type { SetupCommand } from './setupCommand.js';
-import type { SetupShard } from './setupShard.js';
+import type { ConfigurationCommand } from '../configuration/configurationCommand.js';
+import type { ConfigurationShard } from '../configuration/configurationShard.js';
 
 /** Confirmations that an operator reads at once. */
 const historyLines = 200;
 
 interface AuditServiceOptions extends Omit<ConstructorParameters<typeof AuditArchive>[0], 'head'> {
-  readonly machine: SetupShard;
+  readonly machine: ConfigurationShard;
   readonly signer?: AuditSigner | undefined;
   /** Resolves once what this machine holds is surely the newest; only on the leader. */
   readonly confirmed: () => Promise<void>;
-  readonly propose: (id: string, command: SetupCommand) => Promise<unknown>;
+  readonly propose: (id: string, command: ConfigurationCommand) => Promise<unknown>;
 }
 
 /** Signs confirmed versions on the leader, and serves the trail and the history from this machine's audit file. */
@@ -45,8 +45,8 @@
   }
 
   #serve(): void {
-    const { wire, machine, confirmed } = this.#options;
-    wire.serve(controllerCalls.audit, () =>
+    const { transport, machine, confirmed } = this.#options;
+    transport.serve(controllerCalls.audit, () =>
       replyAsLeader(async () => {
         await confirmed();
         // What was confirmed a moment ago is signed before the trail is shown.
@@ -56,7 +56,7 @@
         return { version, entries: lines.map((line) => line.entry), keys: [...auditKeys] };
       }),
     );
-    wire.serve(controllerCalls.history, () =>
+    transport.serve(controllerCalls.history, () =>
       replyAsLeader(async () => {
         await confirmed();
         const lines = await this.archive.newest(historyLines);
--- a/programs/controller/src/auditSigner.ts
+++ b/programs/controller/src/audit/auditSigner.ts
@@ -2,7 +2,8 @@
 import type { JWK } from 'jose';
 import * as v from 'valibot';
 import { Journal } from '@pewterlanding/runtime';
-import type { Disk, NodeName } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
+import type { Disk } from '@pewterlanding/runtime';
 import type { AuditEntry } from './auditEntry.js';
 
 const file = 'audit.key';
--- a/programs/controller/src/auditTrail.ts
+++ b/programs/controller/src/audit/auditTrail.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 
 /** The trail as anybody may check it: compact JWS entries in order, and the public keys that signed them. */
 export const AuditTrail = v.strictObject({
--- a/programs/controller/src/verifyAudit.ts
+++ b/programs/controller/src/audit/verifyAudit.ts
@@ -1,7 +1,7 @@
 import { compactVerify, importJWK } from 'jose';
 import type { JWK } from 'jose';
 import * as v from 'valibot';
-import type { Finding } from '@pewterlanding/runtime';
+import type { Finding } from '@pewterlanding/model';
 import { AuditEntry } from './auditEntry.js';
 import { auditHash } from './auditHash.js';
 import type { AuditTrail } from './auditTrail.js';
@@ -18,15 +18,15 @@
 ): Promise<readonly Finding[]> {
   const findings: Finding[] = [];
   const keys = new Map<string, JWK>();
-  trusted.forEach((raw, place) => {
+  trusted.forEach((raw, position) => {
     const key = v.safeParse(Jwk, raw);
     if (key.success) keys.set(key.output.kid, key.output);
-    else findings.push({ place: `keys.${place}`, message: 'is no public key' });
+    else findings.push({ place: `keys.${position}`, message: 'is no public key' });
   });
   let previous = auditHash('');
   let version = 0;
-  for (const [place, signed] of trail.entries.entries()) {
-    const at = `entries.${place}`;
+  for (const [position, signed] of trail.entries.entries()) {
+    const at = `entries.${position}`;
     const entry = await read(signed, keys);
     if (typeof entry === 'string') findings.push({ place: at, message: entry });
     else {
