--- a/programs/controller/src/takenChanges.ts
+++ b/programs/controller/src/configuration/acceptedChanges.ts
@@ -1,21 +1,21 @@
 import { PackedRing } from './packedRing.js';
 
 /** More changes than a day brings by far: one every eleven seconds, around the clock. */
-const mostChanges = 8192;
+const maxChanges = 8192;
 
 /** Which changes were taken, by the operator's number and the content: the same one sent again has its effect already. */
-export class TakenChanges {
+export class AcceptedChanges {
   static readonly schema = PackedRing.schema;
-  readonly #ring = new PackedRing(mostChanges);
+  readonly #ring = new PackedRing(maxChanges);
 
-  add(mark: number, hash: string): void {
-    this.#ring.add(mark, hash);
+  add(revision: number, hash: string): void {
+    this.#ring.add(revision, hash);
   }
 
   /** Whether this change was taken, or another one under its number. */
-  find(mark: number, hash: string): 'same' | 'other' | undefined {
+  find(revision: number, hash: string): 'same' | 'other' | undefined {
     const packed = PackedRing.hash(hash);
-    const known = this.#ring.find(({ number }) => number === mark);
+    const known = this.#ring.find(({ number }) => number === revision);
     if (known === undefined) return undefined;
     return packed.equals(known.hash) ? 'same' : 'other';
   }
--- a/programs/controller/src/changedItems.ts
+++ b/programs/controller/src/configuration/changedItems.ts
@@ -1,11 +1,11 @@
-import type { Setup } from '@pewterlanding/runtime';
+import type { Configuration } from '@pewterlanding/model';
 import type { Difference } from './difference.js';
 
 /** The history is read whole: one line of it must stay short, however much was changed. */
-const mostPlaces = 50;
+const maxPlaces = 50;
 
 /** Which items two setups differ in, without what stands in them. */
-export function changedItems(before: Setup | undefined, after: Setup): Difference[] {
+export function changedItems(before: Configuration | undefined, after: Configuration): Difference[] {
   const places: string[] = [];
   const compare = (was: Readonly<Record<string, unknown>>, is: Readonly<Record<string, unknown>>, path: string): void => {
     for (const key of new Set([...Object.keys(was), ...Object.keys(is)]))
@@ -16,6 +16,6 @@
   compare(wereRoutes, routes, 'routes.');
   compare(wereServices, services, 'services.');
   compare(were, rest, '');
-  const more = places.length - mostPlaces;
-  return [...places.slice(0, mostPlaces), ...(more > 0 ? [`and ${more} more`] : [])].map((place) => ({ place }));
+  const more = places.length - maxPlaces;
+  return [...places.slice(0, maxPlaces), ...(more > 0 ? [`and ${more} more`] : [])].map((place) => ({ place }));
 }
--- a/programs/controller/src/settledPlans.ts
+++ b/programs/controller/src/configuration/completedPlans.ts
@@ -1,20 +1,20 @@
-import type { PlanId } from '@pewterlanding/runtime';
+import type { PlanId } from '@pewterlanding/model';
 import { PackedRing } from './packedRing.js';
 import type { PlanOutcome } from './planOutcome.js';
 
 /** Many more plans than operators settle while one of them may still ask again. */
-const mostPlans = 1024;
+const maxPlans = 1024;
 /** What a settled plan may have come to; its place is written, so none may move. */
 const outcomes = ['confirmed', 'conflict'] as const;
 
 /** What became of plans whose document is gone: a confirmation sent again has the answer it had. */
-export class SettledPlans {
+export class CompletedPlans {
   static readonly schema = PackedRing.schema;
-  readonly #ring = new PackedRing(mostPlans);
+  readonly #ring = new PackedRing(maxPlans);
 
   add(id: PlanId, { outcome, version }: PlanOutcome): void {
-    const place = outcomes.findIndex((one) => one === outcome);
-    if (place >= 0) this.#ring.add(version * outcomes.length + place, id);
+    const position = outcomes.findIndex((one) => one === outcome);
+    if (position >= 0) this.#ring.add(version * outcomes.length + position, id);
   }
 
   find(id: PlanId): PlanOutcome | undefined {
--- a/programs/controller/src/setupEffects.ts
+++ b/programs/controller/src/configuration/configurationEffects.ts
@@ -1,16 +1,20 @@
-import { entriesOf } from '@pewterlanding/runtime';
-import type { Setup } from '@pewterlanding/runtime';
+import { entriesOf } from '@pewterlanding/model';
+import type { Configuration } from '@pewterlanding/model';
 import type { Effect } from './effect.js';
-import { wantedShards } from './wantedShards.js';
+import { wantedShards } from '../placement/wantedShards.js';
 
 /** What confirming would do beyond the document: pruned branches with waiting lots, thinner parts, moves. */
-export function setupEffects(next: Setup, now: Setup | undefined, waiting: Readonly<Record<string, number>>): readonly Effect[] {
+export function configurationEffects(
+  next: Configuration,
+  now: Configuration | undefined,
+  waiting: Readonly<Record<string, number>>,
+): readonly Effect[] {
   const effects: Effect[] = [];
   const say = (effect: string, needsAcknowledgement: boolean): void => {
     effects.push({ effect, needsAcknowledgement });
   };
-  for (const [name] of entriesOf(now?.branches ?? {})) {
-    if (next.branches[name] !== undefined) continue;
+  for (const [name] of entriesOf(now?.quotas ?? {})) {
+    if (next.quotas[name] !== undefined) continue;
     const items = waiting[name] ?? 0;
     say(
       items > 0
--- a/programs/controller/src/setupFindings.ts
+++ b/programs/controller/src/configuration/configurationFindings.ts
@@ -1,11 +1,11 @@
-import { entriesOf } from '@pewterlanding/runtime';
-import type { Finding, Setup } from '@pewterlanding/runtime';
-import { BranchTree } from '@pewterlanding/rate-limit';
+import { entriesOf } from '@pewterlanding/model';
+import type { Finding, Configuration } from '@pewterlanding/model';
+import { QuotaTree } from '@pewterlanding/rate-limit';
 import { routeFindings } from './routeFindings.js';
 
 /** What no schema can tell of a setup: whether its shards fit each other and the setup before it. */
-export function setupFindings(next: Setup, now: Setup | undefined): readonly Finding[] {
-  const findings: Finding[] = [...BranchTree.findings(new Map(entriesOf(next.branches))), ...routeFindings(next)];
+export function configurationFindings(next: Configuration, now: Configuration | undefined): readonly Finding[] {
+  const findings: Finding[] = [...QuotaTree.findings(new Map(entriesOf(next.quotas))), ...routeFindings(next)];
   const stores = entriesOf(next.stores);
   const staying = stores.filter(([name]) => !next.emptying.includes(name));
   // Machines that join by themselves stand in no setup.
@@ -28,7 +28,7 @@
     places.set(place.address, name);
   }
   if (now === undefined) return findings;
-  for (const key of ['lotShards', 'serviceShards'] as const) {
+  for (const key of ['batchShards', 'serviceShards'] as const) {
     if (next[key] !== now[key]) findings.push({ place: key, message: `cannot change once founded; it is ${now[key]}` });
   }
   // A store that still has copies must be emptied before it is taken out, unless it is lost for good.
--- a/programs/controller/src/setupReturn.ts
+++ b/programs/controller/src/configuration/configurationReturn.ts
@@ -1,13 +1,13 @@
 import * as v from 'valibot';
-import { Duty } from '@pewterlanding/agent';
+import { SingletonRole } from '@pewterlanding/agent';
 import { ChangeOutcome } from './changeOutcome.js';
 import { PlanOutcome } from './planOutcome.js';
 
 /** What a command on the setup shard brings. */
-export const SetupReturn = v.strictObject({
+export const ConfigurationReturn = v.strictObject({
   outcome: v.optional(PlanOutcome),
-  duty: v.optional(Duty),
+  singletonRole: v.optional(SingletonRole),
   change: v.optional(ChangeOutcome),
   empty: v.optional(v.picklist(['started', 'unknown', 'too few'])),
 });
-export type SetupReturn = v.InferOutput<typeof SetupReturn>;
+export type ConfigurationReturn = v.InferOutput<typeof ConfigurationReturn>;
--- a/programs/controller/src/setupShard.ts
+++ b/programs/controller/src/configuration/configurationShard.ts
@@ -1,25 +1,26 @@
 import * as v from 'valibot';
 import type { StateMachine, ShardMap } from '@pewterlanding/consensus';
 import { GroupMember } from '@pewterlanding/consensus';
-import { Duty } from '@pewterlanding/agent';
-import { Count, entriesOf, hashOf, PlanId, Setup } from '@pewterlanding/runtime';
-import type { Finding, NodeName } from '@pewterlanding/runtime';
-import { AuditHead } from './auditHead.js';
-import type { AuditLine } from './auditLine.js';
+import { SingletonRole } from '@pewterlanding/agent';
+import { Count, entriesOf, hashOf, PlanId, Configuration } from '@pewterlanding/model';
+import type { Finding, NodeName } from '@pewterlanding/model';
+import { AuditHead } from '../audit/auditHead.js';
+import type { AuditLine } from '../audit/auditLine.js';
 import { changedItems } from './changedItems.js';
-import { changedSetup } from './changedSetup.js';
+import { changedConfiguration } from './changedConfiguration.js';
 import type { ChangeOutcome } from './changeOutcome.js';
 import { Confirmation } from './confirmation.js';
 import { Plan } from './plan.js';
 import type { PlanOutcome } from './planOutcome.js';
-import { placedShards } from './placedShards.js';
-import { Seating } from './seating.js';
-import { SettledPlans } from './settledPlans.js';
-import type { SetupChange } from './setupChange.js';
-import { SetupCommand } from './setupCommand.js';
-import { SetupReturn } from './setupReturn.js';
-import { TakenChanges } from './takenChanges.js';
-import { wantedShards } from './wantedShards.js';
+import { placedShards } from '../placement/placedShards.js';
+import { Placement } from '../placement/placement.js';
+import { CompletedPlans } from './completedPlans.js';
+import type { ConfigurationChange } from './configurationChange.js';
+import { ConfigurationCommand } from './configurationCommand.js';
+import { ConfigurationReturn } from './configurationReturn.js';
+import { configurationShardFormat1 } from './configurationShardFormat1.js';
+import { AcceptedChanges } from './acceptedChanges.js';
+import { wantedShards } from '../placement/wantedShards.js';
 
 /** Plans that operators may still confirm; each holds a whole setup. */
 const openPlans = 32;
@@ -30,39 +31,39 @@
 /** Confirmations that wait for their signature; without a signer, the newest of them. */
 const unsignedConfirmations = 200;
 /** An outcome is remembered by every member: it must stay short. */
-const mostFindings = 50;
+const maxFindings = 50;
 
 const Digest = v.strictObject({
   version: Count,
   tableVersion: Count,
-  setup: v.optional(Setup),
+  configuration: v.optional(Configuration),
   plans: v.array(Plan),
   history: v.array(Confirmation),
-  duties: v.record(v.string(), Duty),
-  founded: v.record(v.string(), v.array(GroupMember)),
+  singletonRoles: v.record(v.string(), SingletonRole),
+  bootstrapped: v.record(v.string(), v.array(GroupMember)),
   audit: AuditHead.schema,
   auditKeys: v.array(v.record(v.string(), v.unknown())),
-  seating: v.optional(Seating, { version: 0, machines: {}, shards: {}, emptying: [] }),
+  placement: v.optional(Placement, { version: 0, machines: {}, shards: {}, emptying: [] }),
 });
-const SetupSnapshot = v.strictObject({ state: Digest, taken: TakenChanges.schema, settled: SettledPlans.schema });
+const ConfigurationSnapshot = v.strictObject({ state: Digest, taken: AcceptedChanges.schema, settled: CompletedPlans.schema });
 
 /** The shard that holds the setup: plans, confirmed versions, duties and where parts were founded. */
-export class SetupShard implements StateMachine<SetupCommand, SetupReturn> {
+export class ConfigurationShard implements StateMachine<ConfigurationCommand, ConfigurationReturn> {
   /** Each command finds by its own content whether it had its effect: ids are kept only for the answers of the last few. */
   readonly rememberedCommands = 16;
   readonly #signed: (line: AuditLine) => void;
-  readonly #taken = new TakenChanges();
-  readonly #settled = new SettledPlans();
+  readonly #taken = new AcceptedChanges();
+  readonly #settled = new CompletedPlans();
   #state: v.InferOutput<typeof Digest> = {
     version: 0,
     tableVersion: 0,
     plans: [],
     history: [],
-    duties: {},
-    founded: {},
+    singletonRoles: {},
+    bootstrapped: {},
     audit: AuditHead.empty(),
     auditKeys: [],
-    seating: { version: 0, machines: {}, shards: {}, emptying: [] },
+    placement: { version: 0, machines: {}, shards: {}, emptying: [] },
   };
 
   /** `signed` is told each line of the audit trail, also those that a restart reads again. */
@@ -74,16 +75,16 @@
     return this.#state.version;
   }
 
-  get setup(): Setup | undefined {
-    return this.#state.setup;
+  get configuration(): Configuration | undefined {
+    return this.#state.configuration;
   }
 
   get history(): readonly Confirmation[] {
     return this.#state.history;
   }
 
-  get duties(): Readonly<Record<string, Duty>> {
-    return this.#state.duties;
+  get singletonRoles(): Readonly<Record<string, SingletonRole>> {
+    return this.#state.singletonRoles;
   }
 
   /** The end of the signed trail. */
@@ -100,57 +101,57 @@
     return this.#state.plans.find((plan) => plan.id === id);
   }
 
-  get seating(): Seating {
-    return this.#state.seating;
+  get placement(): Placement {
+    return this.#state.placement;
   }
 
-  get founded(): Readonly<Record<string, readonly GroupMember[]>> {
-    return this.#state.founded;
+  get bootstrapped(): Readonly<Record<string, readonly GroupMember[]>> {
+    return this.#state.bootstrapped;
   }
 
   /** Where every shard shall sit: as the setup lists its machines, or as those that joined were seated. */
   wanted(): ReturnType<typeof wantedShards> {
-    const { setup, seating } = this.#state;
-    return setup === undefined || setup.joining ? placedShards(seating) : wantedShards(setup);
+    const { configuration, placement } = this.#state;
+    return configuration === undefined || configuration.joining ? placedShards(placement) : wantedShards(configuration);
   }
 
   /** What would become of a change now, and the setup it would put in force if it has yet to be taken. */
-  judge({ basedOn, mark, hash, ...change }: SetupChange): { readonly outcome: ChangeOutcome; readonly next?: Setup } {
-    const { setup } = this.#state;
-    const held = setup?.mark ?? 0;
+  judge({ basedOn, revision, hash, ...change }: ConfigurationChange): { readonly outcome: ChangeOutcome; readonly next?: Configuration } {
+    const { configuration } = this.#state;
+    const held = configuration?.revision ?? 0;
     const say = (outcome: ChangeOutcome['outcome'], inForce: number, findings: readonly Finding[] = []): ChangeOutcome => ({
       outcome,
-      mark: inForce,
-      findings: findings.slice(0, mostFindings).map((finding) => ({ ...finding })),
+      revision: inForce,
+      findings: findings.slice(0, maxFindings).map((finding) => ({ ...finding })),
     });
-    const known = this.#taken.find(mark, hash);
+    const known = this.#taken.find(revision, hash);
     if (known === 'same') return { outcome: say('taken', held) };
     // One number stands for one change. Below the one in force it is invalid besides, which says more.
-    if (basedOn !== held || (known === 'other' && mark > held)) return { outcome: say('conflict', held) };
-    const next = changedSetup({ basedOn, mark, hash, ...change }, setup);
-    return next.ok ? { outcome: say('taken', mark), next: next.value } : { outcome: say('invalid', held, next.findings) };
+    if (basedOn !== held || (known === 'other' && revision > held)) return { outcome: say('conflict', held) };
+    const next = changedConfiguration({ basedOn, revision, hash, ...change }, configuration);
+    return next.ok ? { outcome: say('taken', revision), next: next.value } : { outcome: say('invalid', held, next.findings) };
   }
 
   /** The shards that a setup wants but nobody has founded. */
-  unfounded(): readonly string[] {
-    return [...this.wanted().keys()].filter((shard) => shard !== 'setup' && this.#state.founded[shard] === undefined);
+  notBootstrapped(): readonly string[] {
+    return [...this.wanted().keys()].filter((shard) => shard !== 'setup' && this.#state.bootstrapped[shard] === undefined);
   }
 
   table(): ShardMap {
-    const { founded, tableVersion } = this.#state;
+    const { bootstrapped, tableVersion } = this.#state;
     const wanted = this.wanted();
-    const rows = Object.entries(founded).map(
+    const rows = Object.entries(bootstrapped).map(
       ([shard, founding]) => [shard, { bootstrap: founding, wanted: wanted.get(shard) ?? [] }] as const,
     );
     return { version: tableVersion, shards: Object.fromEntries(rows) };
   }
 
-  read(raw: unknown): SetupCommand {
-    return v.parse(SetupCommand, raw);
+  read(raw: unknown): ConfigurationCommand {
+    return v.parse(ConfigurationCommand, configurationShardFormat1.command(raw));
   }
 
-  readReturn(raw: unknown): SetupReturn {
-    return v.parse(SetupReturn, raw);
+  readReturn(raw: unknown): ConfigurationReturn {
+    return v.parse(ConfigurationReturn, configurationShardFormat1.result(raw));
   }
 
   snapshot(): unknown {
@@ -158,15 +159,15 @@
   }
 
   restore(raw: unknown): void {
-    const { state, taken, settled } = v.parse(SetupSnapshot, raw);
+    const { state, taken, settled } = v.parse(ConfigurationSnapshot, configurationShardFormat1.snapshot(raw));
     this.#state = state;
     this.#taken.restore(taken);
     this.#settled.restore(settled);
     for (const line of state.audit.newest) this.#signed(line);
   }
 
-  apply(command: SetupCommand): SetupReturn {
-    switch (command.t) {
+  apply(command: ConfigurationCommand): ConfigurationReturn {
+    switch (command.kind) {
       case 'plan':
         this.#propose(command.plan);
         return {};
@@ -174,23 +175,23 @@
         return { outcome: this.#confirm(command.plan, command.acknowledged, command.atMs) };
       case 'set':
         return { change: this.#set(command.change, command.atMs) };
-      case 'duty':
-        return { duty: this.#duty(command.duty, command.claim) };
+      case 'claimRole':
+        return { singletonRole: this.#singletonRole(command.singletonRole, command.claim) };
       case 'audit':
         this.#audit(command);
         return {};
-      case 'sit':
-        if (command.seating.version === this.#state.seating.version + 1) {
-          this.#state.seating = command.seating;
+      case 'place':
+        if (command.placement.version === this.#state.placement.version + 1) {
+          this.#state.placement = command.placement;
           this.#state.tableVersion += 1;
         }
         return {};
       case 'empty':
-        return { empty: this.#empty(command.name, command.away, command.least) };
-      case 'found':
+        return { empty: this.#empty(command.name, command.away, command.minimum) };
+      case 'bootstrap':
         // The first founding stands: a second one would make a second history of the same part.
-        if (this.#state.founded[command.shard] === undefined) {
-          this.#state.founded = { ...this.#state.founded, [command.shard]: command.seats };
+        if (this.#state.bootstrapped[command.shard] === undefined) {
+          this.#state.bootstrapped = { ...this.#state.bootstrapped, [command.shard]: command.members };
           this.#state.tableVersion += 1;
         }
         return {};
@@ -220,7 +221,7 @@
     if (plan.base !== version) this.#settle(plan, { outcome: 'conflict', version });
   }
 
-  #audit({ version, entry, key }: Extract<SetupCommand, { t: 'audit' }>): void {
+  #audit({ version, entry, key }: Extract<ConfigurationCommand, { kind: 'audit' }>): void {
     const { audit, auditKeys, history } = this.#state;
     const confirmation = history.find((one) => one.version === version);
     if (version !== audit.entries + 1 || confirmation === undefined) return;
@@ -239,33 +240,33 @@
     this.#state.history = [...signed, ...unsigned];
   }
 
-  #empty(name: NodeName, away: readonly NodeName[], least: number): NonNullable<SetupReturn['empty']> {
-    const { machines, emptying, version } = this.#state.seating;
+  #empty(name: NodeName, away: readonly NodeName[], minimum: number): NonNullable<ConfigurationReturn['empty']> {
+    const { machines, emptying, version } = this.#state.placement;
     if (machines[name]?.role !== 'store') return 'unknown';
     if (emptying.includes(name)) return 'started';
     const gone = [name, ...emptying, ...away];
     const staying = entriesOf(machines).filter(([other, { role }]) => role === 'store' && !gone.includes(other));
-    if (staying.length < least) return 'too few';
-    this.#state.seating = { ...this.#state.seating, version: version + 1, emptying: [...emptying, name] };
+    if (staying.length < minimum) return 'too few';
+    this.#state.placement = { ...this.#state.placement, version: version + 1, emptying: [...emptying, name] };
     return 'started';
   }
 
   /** A change is judged again where it is applied: another may have come between. */
-  #set(change: SetupChange, atMs: number): ChangeOutcome {
+  #set(change: ConfigurationChange, atMs: number): ChangeOutcome {
     const { outcome, next } = this.judge(change);
     if (next === undefined) return outcome;
-    const { version, setup } = this.#state;
+    const { version, configuration } = this.#state;
     // The audit trail names each version's plan; this one was its own.
-    const plan = v.parse(PlanId, `set_${change.mark}_${hashOf(change.hash).toString(16)}`);
-    this.#putInForce(next, { version: version + 1, plan, atMs, differences: changedItems(setup, next) });
-    this.#taken.add(change.mark, change.hash);
+    const plan = v.parse(PlanId, `set_${change.revision}_${hashOf(change.hash).toString(16)}`);
+    this.#putInForce(next, { version: version + 1, plan, atMs, differences: changedItems(configuration, next) });
+    this.#taken.add(change.revision, change.hash);
     return outcome;
   }
 
-  #putInForce(next: Setup, confirmation: Confirmation): void {
+  #putInForce(next: Configuration, confirmation: Confirmation): void {
     this.#state.version = confirmation.version;
     this.#state.tableVersion += 1;
-    this.#state.setup = next;
+    this.#state.configuration = next;
     this.#state.history = [...this.#state.history, confirmation];
     this.#forgetSigned();
     // What was planned on an older version can't be confirmed any more; its document need not wait for the operator.
@@ -281,10 +282,10 @@
     return outcome;
   }
 
-  #duty(duty: string, claim: Duty): Duty {
-    const held = this.#state.duties[duty];
-    if (held !== undefined && claim.epoch !== held.epoch + 1) return held;
-    this.#state.duties = { ...this.#state.duties, [duty]: claim };
+  #singletonRole(singletonRole: string, claim: SingletonRole): SingletonRole {
+    const held = this.#state.singletonRoles[singletonRole];
+    if (held !== undefined && claim.term !== held.term + 1) return held;
+    this.#state.singletonRoles = { ...this.#state.singletonRoles, [singletonRole]: claim };
     return claim;
   }
 }
--- a/programs/controller/src/confirmation.ts
+++ b/programs/controller/src/configuration/confirmation.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count, PlanId } from '@pewterlanding/runtime';
+import { Count, PlanId } from '@pewterlanding/model';
 import { Difference } from './difference.js';
 
 /** One line of the setup's history. */
--- a/programs/controller/src/packedRing.ts
+++ b/programs/controller/src/configuration/packedRing.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 
 const numberBytes = 8;
 /** Half of a SHA-256: 128 bits leave no two documents to be found that share it. */
@@ -46,8 +46,8 @@
   /** The newest record that fits, if there is one. */
   find(fits: (record: PackedRecord) => boolean): PackedRecord | undefined {
     const oldest = Math.max(0, this.#written - this.#capacity);
-    for (let place = this.#written - 1; place >= oldest; place -= 1) {
-      const at = (place % this.#capacity) * recordBytes;
+    for (let position = this.#written - 1; position >= oldest; position -= 1) {
+      const at = (position % this.#capacity) * recordBytes;
       const record = { number: this.#bytes.readDoubleBE(at), hash: this.#bytes.subarray(at + numberBytes, at + recordBytes) };
       if (fits(record)) return record;
     }
--- a/programs/controller/src/plan.ts
+++ b/programs/controller/src/configuration/plan.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count, PlanId, Setup } from '@pewterlanding/runtime';
+import { Count, PlanId, Configuration } from '@pewterlanding/model';
 import { Difference } from './difference.js';
 import { Effect } from './effect.js';
 import { PlanOutcome } from './planOutcome.js';
@@ -11,7 +11,7 @@
   madeMs: v.number(),
   differences: v.array(Difference),
   effects: v.array(Effect),
-  next: v.optional(Setup),
+  next: v.optional(Configuration),
   outcome: v.optional(PlanOutcome),
 });
 export type Plan = v.InferOutput<typeof Plan>;
--- a/programs/controller/src/planError.ts
+++ b/programs/controller/src/configuration/planError.ts
@@ -1,4 +1,4 @@
-import type { Finding } from '@pewterlanding/runtime';
+import type { Finding } from '@pewterlanding/model';
 
 /** A proposal that cannot become a plan: nothing was stored. */
 export class PlanError extends Error {
--- a/programs/controller/src/controllerCalls.ts
+++ b/programs/controller/src/controllerCalls.ts
@@ -1,17 +1,18 @@
 import * as v from 'valibot';
 import { leaderReply } from '@pewterlanding/consensus';
-import { Duty } from '@pewterlanding/agent';
-import { Count, defineCall, NodeName, PlanId, Setup } from '@pewterlanding/runtime';
-import { BranchView } from '@pewterlanding/rate-limit';
-import { AuditLine } from './auditLine.js';
-import { AuditTrail } from './auditTrail.js';
-import { ChangeOutcome } from './changeOutcome.js';
-import { Confirmation } from './confirmation.js';
-import { HandedRole } from './handedRole.js';
-import { Plan } from './plan.js';
-import { PlanOutcome } from './planOutcome.js';
-import { Proposal } from './proposal.js';
-import { SetupChange } from './setupChange.js';
+import { SingletonRole } from '@pewterlanding/agent';
+import { Count, NodeName, PlanId, Configuration } from '@pewterlanding/model';
+import { defineCall } from '@pewterlanding/runtime';
+import { QuotaView } from '@pewterlanding/rate-limit';
+import { AuditLine } from './audit/auditLine.js';
+import { AuditTrail } from './audit/auditTrail.js';
+import { ChangeOutcome } from './configuration/changeOutcome.js';
+import { Confirmation } from './configuration/confirmation.js';
+import { RoleHandover } from './roles/roleHandover.js';
+import { Plan } from './configuration/plan.js';
+import { PlanOutcome } from './configuration/planOutcome.js';
+import { Proposal } from './configuration/proposal.js';
+import { ConfigurationChange } from './configuration/configurationChange.js';
 
 const Findings = v.array(v.strictObject({ place: v.string(), message: v.string() }));
 
@@ -29,20 +30,25 @@
     leaderReply(v.strictObject({ outcome: PlanOutcome, inForce: v.boolean() })),
   ),
   /** Puts a setup in force in one call; returns once it is durable and on its way. */
-  set: defineCall('controller.set', v.strictObject({ change: SetupChange }), leaderReply(ChangeOutcome)),
-  setup: defineCall(
+  set: defineCall('controller.set', v.strictObject({ change: ConfigurationChange }), leaderReply(ChangeOutcome)),
+  configuration: defineCall(
     'controller.setup',
     v.strictObject({}),
     leaderReply(
       /** The history is the part of it that the state itself holds. */
-      v.strictObject({ version: Count, setup: v.optional(Setup), history: v.array(Confirmation), duties: v.record(v.string(), Duty) }),
+      v.strictObject({
+        version: Count,
+        configuration: v.optional(Configuration),
+        history: v.array(Confirmation),
+        singletonRoles: v.record(v.string(), SingletonRole),
+      }),
     ),
   ),
   audit: defineCall('controller.audit', v.strictObject({}), leaderReply(AuditTrail)),
   /** Lines of the trail as a controller's own file holds them; the chain of hashes shows whether they are the trail's. */
   auditLines: defineCall(
     'controller.auditLines',
-    v.strictObject({ after: Count, most: Count }),
+    v.strictObject({ after: Count, limit: Count }),
     v.strictObject({ lines: v.array(AuditLine) }),
   ),
   /** The newest confirmations, oldest first. */
@@ -54,30 +60,30 @@
    */
   heard: defineCall(
     'controller.heard',
-    v.strictObject({ from: NodeName, lives: v.array(v.tuple([v.string(), Count])), hears: v.array(NodeName) }),
+    v.strictObject({ from: NodeName, instances: v.array(v.tuple([v.string(), Count])), hears: v.array(NodeName) }),
     v.strictObject({}),
   ),
   /** The counter as its holder has it. */
-  branches: defineCall(
+  quotas: defineCall(
     'controller.branches',
     v.strictObject({}),
-    v.strictObject({ epoch: Count, branches: v.array(BranchView), waiting: v.record(v.string(), Count) }),
+    v.strictObject({ term: Count, quotas: v.array(QuotaView), waiting: v.record(v.string(), Count) }),
   ),
   /** Which version each front holds, as far as the leader heard. */
   fronts: defineCall('controller.fronts', v.strictObject({}), leaderReply(v.array(v.strictObject({ front: v.string(), version: Count })))),
   /** From the holder that let a role go, to the next one: what the counter held, under the epoch that ended. */
-  handRole: defineCall('controller.handRole', HandedRole, v.strictObject({ taken: v.boolean() })),
+  handRole: defineCall('controller.handRole', RoleHandover, v.strictObject({ taken: v.boolean() })),
   /** From the leader of the configuration shard to a candidate: the role is vacant, and may be claimed under this epoch. */
-  offerRole: defineCall('controller.offerRole', v.strictObject({ role: v.string(), epoch: Count }), v.strictObject({ taken: v.boolean() })),
+  offerRole: defineCall('controller.offerRole', v.strictObject({ role: v.string(), term: Count }), v.strictObject({ taken: v.boolean() })),
   claimRole: defineCall(
     'controller.claimRole',
-    v.strictObject({ role: v.string(), claim: Duty }),
-    leaderReply(v.strictObject({ held: v.optional(Duty) })),
+    v.strictObject({ role: v.string(), claim: SingletonRole }),
+    leaderReply(v.strictObject({ held: v.optional(SingletonRole) })),
   ),
   /** The holder of a role keeps it only as long as the leader of the configuration shard lets it. */
   renewRole: defineCall(
     'controller.renewRole',
-    v.strictObject({ role: v.string(), epoch: Count, release: v.boolean() }),
+    v.strictObject({ role: v.string(), term: Count, release: v.boolean() }),
     leaderReply(v.strictObject({ held: v.boolean() })),
   ),
 };
--- a/programs/controller/src/controllerContacts.ts
+++ b/programs/controller/src/controllerContacts.ts
@@ -1,5 +1,6 @@
 import type { Membership } from '@pewterlanding/membership';
-import type { Clock, NodeName } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
+import type { Clock } from '@pewterlanding/runtime';
 
 interface ControllerContactsOptions {
   readonly membership: Membership;
@@ -37,18 +38,18 @@
   }
 
   /** What a controller says holds all that it heard until then: those that spoke since a time did not hear what they did not name. */
-  mostSpokeSince(sinceMs: number): boolean {
-    return this.#most((name) => (this.#spokeMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
+  maxSpokeSince(sinceMs: number): boolean {
+    return this.#limit((name) => (this.#spokeMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
   }
 
   /** True while most controllers, which heard this one before, do not say so any more. */
   get lost(): boolean {
-    return this.#established && !this.#mostAnswered();
+    return this.#established && !this.#maxAnswered();
   }
 
   /** Notes whether most are in contact now. */
   look(): void {
-    if (this.#mostAnswered()) this.#established = true;
+    if (this.#maxAnswered()) this.#established = true;
   }
 
   /** From now on silence says nothing until most are in contact again. */
@@ -56,16 +57,16 @@
     this.#established = false;
   }
 
-  #mostAnswered(): boolean {
+  #maxAnswered(): boolean {
     const sinceMs = this.#options.clock.nowMs() - this.#options.lastingMs;
-    return this.#most((name) => (this.#answeredMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
+    return this.#limit((name) => (this.#answeredMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
   }
 
   /** Whether more than half of the controllers, this one among them, fulfil a condition. */
-  #most(fulfils: (name: NodeName) => boolean): boolean {
+  #limit(fulfils: (name: NodeName) => boolean): boolean {
     const { membership } = this.#options;
     const others = membership
-      .cards()
+      .nodeRecords()
       .filter(({ role, state, name }) => role === 'controller' && state !== 'left' && name !== membership.name);
     const fulfilling = others.filter(({ name }) => fulfils(name)).length;
     return (fulfilling + 1) * 2 > others.length + 1;
--- a/programs/controller/src/controllerOptions.ts
+++ b/programs/controller/src/controllerOptions.ts
@@ -1,7 +1,7 @@
 import type { ShardEnvironment } from '@pewterlanding/consensus';
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 import type { Membership } from '@pewterlanding/membership';
-import type { AuditSigner } from './auditSigner.js';
+import type { AuditSigner } from './audit/auditSigner.js';
 
 /** What a controller is made of. */
 export interface ControllerOptions extends ShardEnvironment {
--- a/programs/controller/src/placeItems.ts
+++ b/programs/controller/src/dispatcher/assignItems.ts
@@ -1,4 +1,4 @@
-import type { RouteName, ServiceName, Setup } from '@pewterlanding/runtime';
+import type { RouteName, ServiceName, Configuration } from '@pewterlanding/model';
 import type { ItemRef, OpenLease, QueuedItem } from '@pewterlanding/store';
 
 interface Placed {
@@ -12,9 +12,9 @@
  * Opaque items by the setup in force: they belong to the branch and service that their route has now, wherever it led when they were
  * handed in. A route split over services counts at the one with the largest gain; the front splits what it runs.
  */
-export function placeItems(
+export function assignItems(
   seen: { readonly items: readonly QueuedItem[]; readonly open: readonly OpenLease[] },
-  setup: Setup,
+  configuration: Configuration,
   version: number,
 ): Placed {
   const gone: ItemRef[] = [];
@@ -27,9 +27,9 @@
     }
     // What was handed in under a later setup than this one waits until this node has it.
     if (held.version > version) continue;
-    const route = setup.routes[held.name];
-    if (route?.kind === 'lot' && route.host === held.host)
-      items.push({ ...item, branch: route.branch ?? item.branch, service: serviceOf(setup, held.name) ?? item.service });
+    const route = configuration.routes[held.name];
+    if (route?.kind === 'batch' && route.host === held.host)
+      items.push({ ...item, quota: route.quota ?? item.quota, service: serviceOf(configuration, held.name) ?? item.service });
     else gone.push(item.ref);
   }
   const open = seen.open.map((lease) =>
@@ -37,13 +37,13 @@
       ? lease
       : {
           ...lease,
-          branch: setup.routes[lease.route]?.branch ?? lease.branch,
-          service: serviceOf(setup, lease.route) ?? lease.service,
+          quota: configuration.routes[lease.route]?.quota ?? lease.quota,
+          service: serviceOf(configuration, lease.route) ?? lease.service,
         },
   );
   return { items, open, gone };
 }
 
-function serviceOf(setup: Setup, route: RouteName): ServiceName | undefined {
-  return setup.routes[route]?.services.reduce((best, next) => (next.gain > best.gain ? next : best)).service;
+function serviceOf(configuration: Configuration, route: RouteName): ServiceName | undefined {
+  return configuration.routes[route]?.services.reduce((best, next) => (next.weight > best.weight ? next : best)).service;
 }
--- a/programs/controller/src/lotsClient.ts
+++ b/programs/controller/src/dispatcher/batchShardClient.ts
@@ -1,9 +1,9 @@
 import type { LeaderFinder } from '@pewterlanding/consensus';
-import type { ItemRef, LotCommand, LotReturn } from '@pewterlanding/store';
+import type { ItemRef, BatchCommand, BatchReturn } from '@pewterlanding/store';
 import { storeCalls } from '@pewterlanding/store';
 
 /** The dispatcher's way to the shards of lots; gives each command an id of its own. */
-export class LotsClient {
+export class BatchShardClient {
   readonly #finder: LeaderFinder;
   readonly #prefix: string;
   readonly #waitMs: number;
@@ -15,13 +15,13 @@
     this.#waitMs = waitMs;
   }
 
-  change(shard: string, command: LotCommand): Promise<LotReturn> {
+  change(shard: string, command: BatchCommand): Promise<BatchReturn> {
     this.#count += 1;
     return this.#finder.ask(shard, storeCalls.change, { shard, id: `${this.#prefix}/${this.#count}`, command }, this.#waitMs);
   }
 
-  queued(shard: string, most: number, waitMs = this.#waitMs) {
-    return this.#finder.ask(shard, storeCalls.queued, { shard, most }, Math.min(waitMs, this.#waitMs));
+  queued(shard: string, limit: number, waitMs = this.#waitMs) {
+    return this.#finder.ask(shard, storeCalls.queued, { shard, limit }, Math.min(waitMs, this.#waitMs));
   }
 
   inputs(shard: string, places: ItemRef[]) {
--- a/programs/controller/src/dispatchRole.ts
+++ b/programs/controller/src/dispatcher/dispatchRole.ts
@@ -1,30 +1,30 @@
 import * as v from 'valibot';
-import { agentToControllerCalls, Duty, newsKeys } from '@pewterlanding/agent';
+import { agentToControllerCalls, SingletonRole, updateKeys } from '@pewterlanding/agent';
 import type { Member, LeaderFinder } from '@pewterlanding/consensus';
 import { replyAsLeader } from '@pewterlanding/consensus';
 import type { Balances } from '@pewterlanding/rate-limit';
-import type { VersionedSetup } from '@pewterlanding/runtime';
-import { WireError } from '@pewterlanding/runtime';
-import { controllerCalls } from './controllerCalls.js';
-import type { ControllerOptions } from './controllerOptions.js';
+import type { VersionedConfiguration } from '@pewterlanding/model';
+import { TransportError } from '@pewterlanding/runtime';
+import { controllerCalls } from '../controllerCalls.js';
+import type { ControllerOptions } from '../controllerOptions.js';
 import { Dispatcher } from './dispatcher.js';
-import { LotsClient } from './lotsClient.js';
-import { reachesMajority } from './reachesMajority.js';
-import { RoleLeaseGrantor } from './roleLeaseGrantor.js';
-import { RoleLeaseHolder } from './roleLeaseHolder.js';
-import { RoleOffers } from './roleOffers.js';
-import type { SetupCommand } from './setupCommand.js';
-import type { SetupShard } from './setupShard.js';
-import type { SetupReturn } from './setupReturn.js';
+import { BatchShardClient } from './batchShardClient.js';
+import { reachesMajority } from '../roles/reachesMajority.js';
+import { RoleLeaseGrantor } from '../roles/roleLeaseGrantor.js';
+import { RoleLeaseHolder } from '../roles/roleLeaseHolder.js';
+import { RoleOffers } from '../roles/roleOffers.js';
+import type { ConfigurationCommand } from '../configuration/configurationCommand.js';
+import type { ConfigurationShard } from '../configuration/configurationShard.js';
+import type { ConfigurationReturn } from '../configuration/configurationReturn.js';
 
-interface DispatchRoleOptions extends Pick<ControllerOptions, 'membership' | 'clock' | 'wire' | 'bounds' | 'counters' | 'log'> {
+interface DispatchRoleOptions extends Pick<ControllerOptions, 'membership' | 'clock' | 'transport' | 'bounds' | 'counters' | 'log'> {
   readonly finder: LeaderFinder;
-  readonly machine: SetupShard;
-  readonly member: () => Member<SetupCommand, SetupReturn> | undefined;
-  readonly setup: () => VersionedSetup | undefined;
+  readonly machine: ConfigurationShard;
+  readonly member: () => Member<ConfigurationCommand, ConfigurationReturn> | undefined;
+  readonly configuration: () => VersionedConfiguration | undefined;
   /** Resolves once what this node holds of the configuration shard is surely the newest; only on its leader. */
   readonly confirmed: () => Promise<void>;
-  readonly propose: (id: string, command: SetupCommand) => Promise<SetupReturn>;
+  readonly propose: (id: string, command: ConfigurationCommand) => Promise<ConfigurationReturn>;
 }
 
 const role = 'dispatch';
@@ -40,7 +40,7 @@
   #dispatcher: Dispatcher | undefined;
 
   constructor(options: DispatchRoleOptions) {
-    const { wire, bounds, clock, machine, member, membership } = options;
+    const { transport, bounds, clock, machine, member, membership } = options;
     const { failureTimeoutMs } = bounds;
     this.#options = options;
     const leaseMs = RoleLeaseHolder.leaseMs(failureTimeoutMs);
@@ -51,7 +51,7 @@
       grantor: this.#grantor,
       failureTimeoutMs,
       leading: () => member()?.isLeader === true,
-      held: () => machine.duties[role],
+      held: () => machine.singletonRoles[role],
       answers: (name) => this.#answers(name),
     });
     this.#holder = new RoleLeaseHolder({
@@ -59,23 +59,24 @@
       role,
       failureTimeoutMs,
       held: () => this.held(),
-      reachesMajority: () => reachesMajority({ wire, self: membership.name, group: member()?.group() ?? [], waitMs: failureTimeoutMs / 4 }),
-      begin: (epoch, balances) => this.#begin(epoch, balances),
+      reachesMajority: () =>
+        reachesMajority({ transport, self: membership.name, group: member()?.group() ?? [], waitMs: failureTimeoutMs / 4 }),
+      begin: (term, balances) => this.#begin(term, balances),
       end: () => this.#end(),
-      hand: (to, handed) => wire.ask(to, controllerCalls.handRole, handed, failureTimeoutMs),
+      hand: (to, handed) => transport.ask(to, controllerCalls.handRole, handed, failureTimeoutMs),
     });
     this.#serveLease();
     this.#serveCounter();
   }
 
   /** The holder as news have it. */
-  held(): Duty | undefined {
-    const read = v.safeParse(Duty, this.#options.membership.board.get(newsKeys.duty(role))?.value);
+  held(): SingletonRole | undefined {
+    const read = v.safeParse(SingletonRole, this.#options.membership.stateTable.get(updateKeys.singletonRole(role))?.value);
     return read.success ? read.output : undefined;
   }
 
   get dispatcher(): Dispatcher | undefined {
-    return this.#holder.epoch() === undefined ? undefined : this.#dispatcher;
+    return this.#holder.term() === undefined ? undefined : this.#dispatcher;
   }
 
   /** This node begins to lead the configuration shard. */
@@ -102,25 +103,31 @@
   }
 
   #serveLease(): void {
-    const { wire, confirmed, propose, machine } = this.#options;
-    wire.serve(controllerCalls.offerRole, async (offer) => ({ taken: offer.role === role && (await this.#holder.offered(offer.epoch)) }));
-    wire.serve(controllerCalls.handRole, async (handed) => ({ taken: handed.role === role && (await this.#holder.receive(handed)) }));
-    wire.serve(controllerCalls.claimRole, ({ role: claimed, claim }) =>
+    const { transport, confirmed, propose, machine } = this.#options;
+    transport.serve(controllerCalls.offerRole, async (offer) => ({
+      taken: offer.role === role && (await this.#holder.offered(offer.term)),
+    }));
+    transport.serve(controllerCalls.handRole, async (handed) => ({ taken: handed.role === role && (await this.#holder.receive(handed)) }));
+    transport.serve(controllerCalls.claimRole, ({ role: claimed, claim }) =>
       replyAsLeader(async () => {
         await confirmed();
-        const held = machine.duties[claimed];
+        const held = machine.singletonRoles[claimed];
         // A claim sent again must not be one lease more: its sender may never have heard of the first.
-        if (held?.holder === claim.holder && held.epoch === claim.epoch) return {};
+        if (held?.holder === claim.holder && held.term === claim.term) return {};
         if (!this.#grantor.free(claimed, held, claim.holder)) return { held };
-        const back = await propose(`duty/${claimed}/${claim.epoch}/${claim.holder}`, { t: 'duty', duty: claimed, claim });
+        const response = await propose(`duty/${claimed}/${claim.term}/${claim.holder}`, {
+          kind: 'claimRole',
+          singletonRole: claimed,
+          claim,
+        });
         this.#grantor.renewed(claimed);
-        return { held: back.duty };
+        return { held: response.singletonRole };
       }),
     );
-    wire.serve(controllerCalls.renewRole, ({ role: renewed, epoch, release }) =>
+    transport.serve(controllerCalls.renewRole, ({ role: renewed, term, release }) =>
       replyAsLeader(async () => {
         await confirmed();
-        const held = machine.duties[renewed]?.epoch === epoch;
+        const held = machine.singletonRoles[renewed]?.term === term;
         if (held && release) this.#grantor.released(renewed);
         else if (held) this.#grantor.renewed(renewed);
         return { held };
@@ -129,31 +136,31 @@
   }
 
   #serveCounter(): void {
-    const { wire } = this.#options;
+    const { transport } = this.#options;
     const holding = (): Dispatcher => {
       const { dispatcher } = this;
-      if (dispatcher === undefined) throw new WireError('refused', 'the counter is not here');
+      if (dispatcher === undefined) throw new TransportError('refused', 'the counter is not here');
       return dispatcher;
     };
-    wire.serve(agentToControllerCalls.draw, async (draw) => holding().draw(draw));
-    wire.serve(agentToControllerCalls.settle, async ({ settled }) => {
+    transport.serve(agentToControllerCalls.requestQuota, async (quotaRequest) => holding().draw(quotaRequest));
+    transport.serve(agentToControllerCalls.settle, async ({ settled }) => {
       this.dispatcher?.settle(settled);
       return {};
     });
-    wire.serve(controllerCalls.branches, async () => {
+    transport.serve(controllerCalls.quotas, async () => {
       const dispatcher = holding();
-      return { epoch: this.#holder.epoch() ?? 0, branches: [...dispatcher.view()], waiting: { ...dispatcher.waiting } };
+      return { term: this.#holder.term() ?? 0, quotas: [...dispatcher.view()], waiting: { ...dispatcher.waiting } };
     });
   }
 
-  #begin(epoch: number, balances: Balances | undefined): void {
+  #begin(term: number, balances: Balances | undefined): void {
     const { membership, bounds, finder } = this.#options;
     this.#dispatcher = new Dispatcher({
       ...this.#options,
-      epoch,
+      term,
       balances,
-      current: () => this.#holder.epoch(),
-      lots: new LotsClient(finder, `${membership.name}/${epoch}`, bounds.failureTimeoutMs),
+      current: () => this.#holder.term(),
+      batches: new BatchShardClient(finder, `${membership.name}/${term}`, bounds.failureTimeoutMs),
       failureTimeoutMs: bounds.failureTimeoutMs,
     });
   }
--- a/programs/controller/src/dispatcher.ts
+++ b/programs/controller/src/dispatcher/dispatcher.ts
@@ -1,32 +1,34 @@
-import type { BranchName, Clock, Counters, Log, NodeName, Setup, VersionedSetup, Wire } from '@pewterlanding/runtime';
-import { entriesOf, every } from '@pewterlanding/runtime';
-import type { Draw, Drawn, Settlement } from '@pewterlanding/agent';
+import type { QuotaName, NodeName, Configuration, VersionedConfiguration } from '@pewterlanding/model';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
+import { entriesOf } from '@pewterlanding/model';
+import { every } from '@pewterlanding/runtime';
+import type { QuotaRequest, QuotaGrant, Settlement } from '@pewterlanding/agent';
 import type { Membership } from '@pewterlanding/membership';
-import { BranchTree, Counter, fleetCeiling } from '@pewterlanding/rate-limit';
-import type { Balances, BranchView, CounterRules } from '@pewterlanding/rate-limit';
+import { QuotaTree, Counter, fleetCeiling } from '@pewterlanding/rate-limit';
+import type { Balances, QuotaView, CounterRules } from '@pewterlanding/rate-limit';
 import { leaseKey } from '@pewterlanding/store';
 import type { ItemRef, Lease, OpenLease, QueuedItem } from '@pewterlanding/store';
-import { chooseItems } from './chooseItems.js';
+import { selectItems } from './selectItems.js';
 import { fleetView } from './fleetView.js';
 import { LeaseWatch } from './leaseWatch.js';
-import { lotCap } from './lotCap.js';
-import { lotRoom } from './lotRoom.js';
-import type { LotsClient } from './lotsClient.js';
-import { placeItems } from './placeItems.js';
+import { batchConcurrencyLimit } from './batchConcurrencyLimit.js';
+import { batchCapacity } from './batchCapacity.js';
+import type { BatchShardClient } from './batchShardClient.js';
+import { assignItems } from './assignItems.js';
 import { sendLeases } from './sendLeases.js';
 import { UsageLearner } from './usageLearner.js';
 
 interface DispatcherOptions {
-  readonly epoch: number;
+  readonly term: number;
   /** What the counter of the epoch before held, when its holder let the duty go politely. */
   readonly balances?: Balances | undefined;
   /** Asked before every act: the epoch under which this node may still act. */
   readonly current: () => number | undefined;
   readonly membership: Membership;
   readonly clock: Clock;
-  readonly wire: Wire;
-  readonly lots: LotsClient;
-  readonly setup: () => VersionedSetup | undefined;
+  readonly transport: Transport;
+  readonly batches: BatchShardClient;
+  readonly configuration: () => VersionedConfiguration | undefined;
   readonly failureTimeoutMs: number;
   readonly counters: Counters;
   readonly log: Log;
@@ -41,11 +43,11 @@
 
 interface FrontWord {
   readonly atMs: number;
-  readonly live: Draw['live'];
+  readonly live: QuotaRequest['live'];
   readonly leases: ReadonlySet<string>;
 }
 
-const leastLook = 8;
+const minLook = 8;
 const forgetRatio = 0.02;
 /** A ceiling that is worked out follows the slots when they have moved by more than this. */
 const notableRatio = 0.1;
@@ -60,10 +62,10 @@
   readonly #fenced = new Set<string>();
   readonly #watch: LeaseWatch;
   #counter: Counter | undefined;
-  #shaped: Setup | undefined;
+  #shaped: Configuration | undefined;
   #number = 0;
   /** How far down each line a tick looks: twice what the last one claimed, so that it follows the load in a few ticks. */
-  #look = leastLook;
+  #look = minLook;
   readonly #usage: UsageLearner;
   #slotsOf = new Map<string, number>();
   #forgotMs: number;
@@ -72,14 +74,14 @@
   constructor(options: DispatcherOptions) {
     this.#options = options;
     this.#watch = new LeaseWatch(options.failureTimeoutMs);
-    this.#usage = new UsageLearner(options.membership, options.epoch);
+    this.#usage = new UsageLearner(options.membership, options.term);
     this.#forgotMs = options.clock.nowMs();
     this.#shape();
     if (options.balances !== undefined) {
       this.#counter?.adopt(options.balances, options.clock.nowMs());
       options.counters.add('dispatch.adopted');
     }
-    const tickMs = options.setup()?.setup.bounds.tickMs ?? options.failureTimeoutMs / 4;
+    const tickMs = options.configuration()?.configuration.bounds.tickMs ?? options.failureTimeoutMs / 4;
     this.#stop = every(options.clock, tickMs, () => this.tick());
   }
 
@@ -88,7 +90,7 @@
     return this.#waiting;
   }
 
-  view(): readonly BranchView[] {
+  view(): readonly QuotaView[] {
     return this.#counter?.view() ?? [];
   }
 
@@ -101,19 +103,22 @@
     this.#stop();
   }
 
-  draw(draw: Draw): Drawn {
+  draw(quotaRequest: QuotaRequest): QuotaGrant {
     const now = this.#options.clock.nowMs();
     this.#shape();
     const counter = this.#counter;
-    this.#fronts.set(draw.front, { atMs: now, live: draw.live, leases: new Set(draw.leases) });
-    counter?.heard(draw.front, now);
+    this.#fronts.set(quotaRequest.front, { atMs: now, live: quotaRequest.live, leases: new Set(quotaRequest.leases) });
+    counter?.heard(quotaRequest.front, now);
     counter?.watch(now);
-    for (const { branch, back } of draw.backs) counter?.correct(branch, back);
-    const given = draw.wants.map(({ branch, wish, least }) => ({
-      branch,
-      ...(counter?.draw(branch, wish, least, now) ?? { given: { requests: 0, tokens: 0 }, retryAfterMs: this.#options.failureTimeoutMs }),
+    for (const { quota, returned } of quotaRequest.returned) counter?.correct(quota, returned);
+    const granted = quotaRequest.requested.map(({ quota, desired, minimum }) => ({
+      quota,
+      ...(counter?.draw(quota, desired, minimum, now) ?? {
+        granted: { requests: 0, tokens: 0 },
+        retryAfterMs: this.#options.failureTimeoutMs,
+      }),
     }));
-    return { epoch: this.#options.epoch, given };
+    return { term: this.#options.term, granted };
   }
 
   settle(settled: readonly Settlement[]): void {
@@ -130,45 +135,45 @@
     const { membership, counters } = this.#options;
     const pools = fleetView(membership);
     this.#shape(pools);
-    const { setup, version } = this.#options.setup() ?? {};
+    const { configuration, version } = this.#options.configuration() ?? {};
     const counter = this.#counter;
-    if (setup === undefined || version === undefined || counter === undefined || this.#over()) return;
-    const shards = Array.from({ length: setup.lotShards }, (_, shard) => `lots-${shard}`);
-    const cap = lotCap(setup, pools);
+    if (configuration === undefined || version === undefined || counter === undefined || this.#over()) return;
+    const shards = Array.from({ length: configuration.batchShards }, (_, shard) => `lots-${shard}`);
+    const cap = batchConcurrencyLimit(configuration, pools);
     // A shard whose leader is being replaced must not hold up the others' work.
-    const waitMs = setup.bounds.tickMs * 2;
+    const waitMs = configuration.bounds.tickMs * 2;
     const looks = await Promise.all(shards.map((shard) => this.#see(shard, Math.min(cap, this.#look), waitMs)));
     if (this.#over()) return;
-    const seen = looks.flatMap((one) => (one === undefined ? [] : [{ ...one, ...placeItems(one, setup, version) }]));
+    const seen = looks.flatMap((one) => (one === undefined ? [] : [{ ...one, ...assignItems(one, configuration, version) }]));
     await this.#abandon(seen, version);
     counters.add('dispatch.ticks');
     this.#waiting = sum(seen.map((one) => one.waiting));
     counter.tick(
       new Set([
-        ...new Map(entriesOf<BranchName, number>(this.#waiting)).keys(),
-        ...seen.flatMap((one) => one.items.map((item) => item.branch)),
+        ...new Map(entriesOf<QuotaName, number>(this.#waiting)).keys(),
+        ...seen.flatMap((one) => one.items.map((item) => item.quota)),
       ]),
       this.#options.clock.nowMs(),
     );
     this.#reconcile(seen, shards);
-    await this.#recover(seen, setup);
-    await this.#forget(shards, setup);
-    const fronts = membership.live().filter((card) => card.role === 'agent' && this.#heard(card.name));
+    await this.#recover(seen, configuration);
+    await this.#forget(shards, configuration);
+    const fronts = membership.live().filter((nodeRecord) => nodeRecord.role === 'agent' && this.#heard(nodeRecord.name));
     // A shard not seen may hold leases nobody counted; the others go on within what is known.
     if (fronts.length === 0 || this.#over()) return;
     await Promise.all(
       this.#claims(
         seen,
-        setup,
+        configuration,
         counter,
         pools,
-        fronts.map((card) => card.name),
-      ).map((claim) => this.#lease(claim, setup, counter)),
+        fronts.map((nodeRecord) => nodeRecord.name),
+      ).map((claim) => this.#lease(claim, configuration, counter)),
     );
   }
 
   #over(): boolean {
-    return this.#options.current() !== this.#options.epoch;
+    return this.#options.current() !== this.#options.term;
   }
 
   #heard(front: NodeName): boolean {
@@ -178,17 +183,17 @@
 
   /** Takes a new setup. Where the ceiling is worked out from the slots, the counter follows them, but not every single one. */
   #shape(pools?: ReturnType<typeof fleetView>): void {
-    const setup = this.#options.setup()?.setup;
-    if (setup === undefined) return;
-    const moved = pools !== undefined && setup.ceiling === undefined && this.#moved(pools);
-    if (setup === this.#shaped && !moved) return;
-    this.#shaped = setup;
+    const configuration = this.#options.configuration()?.configuration;
+    if (configuration === undefined) return;
+    const moved = pools !== undefined && configuration.ceiling === undefined && this.#moved(pools);
+    if (configuration === this.#shaped && !moved) return;
+    this.#shaped = configuration;
     this.#slotsOf = new Map([...(pools ?? fleetView(this.#options.membership))].map(([service, pool]) => [service, pool.slots]));
     const now = this.#options.clock.nowMs();
-    const { waitingRatio, liveRatio, fallbackRatio, fronts } = setup.bounds;
-    const tree = new BranchTree(new Map(entriesOf(setup.branches)));
+    const { waitingRatio, liveRatio, fallbackRatio, fronts } = configuration.bounds;
+    const tree = new QuotaTree(new Map(entriesOf(configuration.quotas)));
     const rules: CounterRules = {
-      ceiling: fleetCeiling(setup, this.#slotsOf),
+      ceiling: fleetCeiling(configuration, this.#slotsOf),
       tree,
       waitingRatio,
       liveRatio,
@@ -210,27 +215,27 @@
 
   /** Gives up items whose route this setup does not have any more; the shard checks that it is no older than theirs. */
   async #abandon(seen: readonly { readonly shard: string; readonly gone: readonly ItemRef[] }[], version: number): Promise<void> {
-    const { lots, counters } = this.#options;
+    const { batches, counters } = this.#options;
     await Promise.all(
       seen.map(async ({ shard, gone }) => {
         if (gone.length === 0) return;
         counters.add('dispatch.routeGone', gone.length);
-        await lots.change(shard, { t: 'abandon', refs: [...gone], version }).catch(() => undefined);
+        await batches.change(shard, { kind: 'abandon', refs: [...gone], version }).catch(() => undefined);
       }),
     );
   }
 
   /** Reads one shard; the first time under this epoch, fences it and takes over what its leases stand for. */
-  async #see(shard: string, most: number, waitMs: number): Promise<Seen | undefined> {
-    const { lots, epoch, counters } = this.#options;
+  async #see(shard: string, limit: number, waitMs: number): Promise<Seen | undefined> {
+    const { batches, term, counters } = this.#options;
     try {
       if (!this.#fenced.has(shard)) {
-        const back = await lots.change(shard, { t: 'fence', epoch });
-        if (!back.done) return undefined;
+        const response = await batches.change(shard, { kind: 'fence', term });
+        if (!response.done) return undefined;
       }
-      const view = await lots.queued(shard, most, waitMs);
+      const view = await batches.queued(shard, limit, waitMs);
       if (!this.#fenced.has(shard)) {
-        for (const open of view.open) this.#counter?.charge(LeaseWatch.idOf(open), open.branch, { requests: 1, tokens: open.tokens });
+        for (const open of view.open) this.#counter?.charge(LeaseWatch.idOf(open), open.quota, { requests: 1, tokens: open.tokens });
         this.#fenced.add(shard);
       }
       return { shard, ...view };
@@ -249,74 +254,83 @@
   }
 
   /** Stale leases go back; items whose front is lost run again if they may. */
-  async #recover(seen: readonly Seen[], setup: Setup): Promise<void> {
-    const { clock, lots, counters } = this.#options;
+  async #recover(seen: readonly Seen[], configuration: Configuration): Promise<void> {
+    const { clock, batches, counters } = this.#options;
     const now = clock.nowMs();
     const lost = seen.flatMap(({ shard, open }) =>
-      open.flatMap((lease) => (this.#watch.overdue(lease, this.#stateOf(lease), setup, now) ? [{ shard, lease }] : [])),
+      open.flatMap((lease) => (this.#watch.overdue(lease, this.#stateOf(lease), configuration, now) ? [{ shard, lease }] : [])),
     );
     await Promise.all(
       lost.map(async ({ shard, lease }) => {
         counters.add(lease.started ? 'dispatch.lost' : 'dispatch.stale');
-        const back = await lots.change(shard, { t: 'lost', ref: lease.ref, lease: lease.lease }).catch(() => undefined);
-        if (back?.done === true && !lease.started) this.#counter?.refund(LeaseWatch.idOf(lease));
+        const response = await batches.change(shard, { kind: 'lost', ref: lease.ref, lease: lease.lease }).catch(() => undefined);
+        if (response?.done === true && !lease.started) this.#counter?.refund(LeaseWatch.idOf(lease));
       }),
     );
   }
 
   /** Now and then, finished lots that were kept long enough go. */
-  async #forget(shards: readonly string[], setup: Setup): Promise<void> {
-    const { clock, lots } = this.#options;
-    const { lotKeepMs } = setup.bounds;
-    if (clock.nowMs() - this.#forgotMs < lotKeepMs * forgetRatio) return;
+  async #forget(shards: readonly string[], configuration: Configuration): Promise<void> {
+    const { clock, batches } = this.#options;
+    const { batchKeepMs } = configuration.bounds;
+    if (clock.nowMs() - this.#forgotMs < batchKeepMs * forgetRatio) return;
     this.#forgotMs = clock.nowMs();
-    const beforeMs = clock.wallMs() - lotKeepMs;
-    await Promise.all(shards.map((shard) => lots.change(shard, { t: 'forget', beforeMs }).catch(() => undefined)));
+    const beforeMs = clock.wallMs() - batchKeepMs;
+    await Promise.all(shards.map((shard) => batches.change(shard, { kind: 'forget', beforeMs }).catch(() => undefined)));
   }
 
   /** A lease is lost when its front is gone, or is heard and does not hold it: that front began a new life, or never got it. */
   #stateOf({ lease, started }: OpenLease): 'waits' | 'lost' | 'runs' {
-    if (this.#options.membership.card(lease.front) === undefined) return 'lost';
+    if (this.#options.membership.nodeRecord(lease.front) === undefined) return 'lost';
     const word = this.#fronts.get(lease.front);
     if (this.#heard(lease.front) && word?.leases.has(leaseKey(lease)) === false) return 'lost';
     return started ? 'runs' : 'waits';
   }
 
   /** What this tick claims, by part. */
-  #claims(seen: readonly Seen[], setup: Setup, counter: Counter, pools: ReturnType<typeof fleetView>, fronts: readonly NodeName[]) {
+  #claims(
+    seen: readonly Seen[],
+    configuration: Configuration,
+    counter: Counter,
+    pools: ReturnType<typeof fleetView>,
+    fronts: readonly NodeName[],
+  ) {
     const now = this.#options.clock.nowMs();
-    const cap = lotCap(setup, pools);
+    const cap = batchConcurrencyLimit(configuration, pools);
     const poolOf = (service: string): string => pools.get(service)?.name ?? service;
     const live = this.#live();
     const out = new Map<string, number>();
-    const outOf = new Map<BranchName, number>();
+    const outOf = new Map<QuotaName, number>();
     const weight = new Map(fronts.map((front) => [front, 0]));
     for (const { open } of seen) {
       for (const lease of open) {
         out.set(poolOf(lease.service), (out.get(poolOf(lease.service)) ?? 0) + 1);
-        outOf.set(lease.branch, (outOf.get(lease.branch) ?? 0) + 1);
+        outOf.set(lease.quota, (outOf.get(lease.quota) ?? 0) + 1);
         weight.set(lease.lease.front, (weight.get(lease.lease.front) ?? 0) + 1);
       }
     }
     const total = [...out.values()].reduce((all, one) => all + one, 0);
-    const chosen = chooseItems({
+    const chosen = selectItems({
       items: seen.flatMap(({ shard, items }) =>
         items.map((item) => ({
           ...item,
           shard,
           // What is dearer than its branch can ever hold costs all that it can hold: an opaque lot that was taken must run.
-          tokens: item.route === undefined ? item.tokens : Math.min(item.tokens, counter.mostTokens(item.branch)),
+          tokens: item.route === undefined ? item.tokens : Math.min(item.tokens, counter.maxTokens(item.quota)),
         })),
       ),
       out: outOf,
-      share: (branch) => counter.shareOf(branch),
+      share: (quota) => counter.shareOf(quota),
       poolOf,
       roomOf: (service) =>
-        lotRoom(pools.get(service)?.slots ?? 0, live.get(service) ?? 0, out.get(poolOf(service)) ?? 0, { ...setup.bounds, lotCap: cap }),
-      capacity: (branch, tokens) => counter.capacity(branch, { requests: 1, tokens }, now),
+        batchCapacity(pools.get(service)?.slots ?? 0, live.get(service) ?? 0, out.get(poolOf(service)) ?? 0, {
+          ...configuration.bounds,
+          batchConcurrencyLimit: cap,
+        }),
+      capacity: (quota, tokens) => counter.capacity(quota, { requests: 1, tokens }, now),
       gap: Math.max(0, cap - total),
     });
-    this.#look = leastLook + chosen.length * 2;
+    this.#look = minLook + chosen.length * 2;
     const claims = new Map<string, { readonly item: QueuedItem; readonly lease: Lease }[]>();
     for (const item of chosen) {
       const front = fronts.reduce((best, next) => ((weight.get(next) ?? 0) < (weight.get(best) ?? 0) ? next : best));
@@ -325,7 +339,7 @@
       const claim = claims.get(item.shard) ?? [];
       claims.set(item.shard, claim);
       const { shard: _part, ...queued } = item;
-      claim.push({ item: queued, lease: { epoch: this.#options.epoch, number: this.#number, front } });
+      claim.push({ item: queued, lease: { term: this.#options.term, number: this.#number, front } });
     }
     return [...claims].map(([shard, items]) => ({ shard, items }));
   }
@@ -333,24 +347,24 @@
   /** Claims at the shard, reserves each claimed item, and sends those reserved to their fronts. */
   async #lease(
     claim: { readonly shard: string; readonly items: readonly { readonly item: QueuedItem; readonly lease: Lease }[] },
-    setup: Setup,
+    configuration: Configuration,
     counter: Counter,
   ): Promise<void> {
-    const { lots, epoch, clock, counters } = this.#options;
+    const { batches, term, clock, counters } = this.#options;
     const { shard } = claim;
-    const back = await lots
-      .change(shard, { t: 'claim', epoch, claims: claim.items.map(({ item, lease }) => ({ ref: item.ref, lease })) })
+    const response = await batches
+      .change(shard, { kind: 'claim', term, claims: claim.items.map(({ item, lease }) => ({ ref: item.ref, lease })) })
       .catch(() => undefined);
-    if (back?.claimed === undefined || this.#over()) return;
-    const got = new Set(back.claimed.map((ref) => `${ref.lot} ${ref.place}`));
+    if (response?.claimed === undefined || this.#over()) return;
+    const got = new Set(response.claimed.map((ref) => `${ref.batch} ${ref.position}`));
     const reserved: { readonly item: QueuedItem; readonly lease: Lease }[] = [];
     const refused: Promise<unknown>[] = [];
     for (const { item, lease } of claim.items) {
-      if (!got.has(`${item.ref.lot} ${item.ref.place}`)) continue;
+      if (!got.has(`${item.ref.batch} ${item.ref.position}`)) continue;
       counters.add('dispatch.claimed');
       const taken = counter.reserve(
         LeaseWatch.idOf({ ref: item.ref, lease }),
-        item.branch,
+        item.quota,
         { requests: 1, tokens: item.tokens },
         clock.nowMs(),
       );
@@ -359,12 +373,12 @@
         continue;
       }
       counters.add('dispatch.unreserved');
-      const waitMs = Math.min(Math.ceil(taken.retryAfterMs / 1000) * 1000, setup.bounds.requeueCapMs);
+      const waitMs = Math.min(Math.ceil(taken.retryAfterMs / 1000) * 1000, configuration.bounds.requeueCapMs);
       // An opaque item is due by clocks that may step; only the leader's own counts for it.
       const when = item.route === undefined ? { notBeforeMs: clock.wallMs() + waitMs } : { notBeforeMs: 0, waitMs };
       refused.push(
-        lots
-          .change(shard, { t: 'release', ref: item.ref, lease, ...when, tried: true, maxTries: setup.bounds.requeueTries })
+        batches
+          .change(shard, { kind: 'release', ref: item.ref, lease, ...when, tried: true, maxAttempts: configuration.bounds.requeueAttempts })
           .catch(() => undefined),
       );
     }
--- a/programs/controller/src/fleetView.ts
+++ b/programs/controller/src/dispatcher/fleetView.ts
@@ -1,5 +1,5 @@
-import { newsKeys, Replica } from '@pewterlanding/agent';
-import { NewsReader } from '@pewterlanding/membership';
+import { updateKeys, Replica } from '@pewterlanding/agent';
+import { UpdateReader } from '@pewterlanding/membership';
 import type { Membership } from '@pewterlanding/membership';
 
 interface Pool {
@@ -9,17 +9,17 @@
 }
 
 /** The dispatcher looks at each of its ticks. */
-const reader = NewsReader.of(Replica);
+const reader = UpdateReader.of(Replica);
 
 /** What the controller sees of replicas in the news: the slots behind each service, and which services share them. */
 export function fleetView(membership: Membership): ReadonlyMap<string, Pool> {
   const slots = new Map<string, Map<string, number>>();
-  for (const news of membership.board.withPrefix(newsKeys.replicas)) {
-    const replica = reader.read(news);
+  for (const update of membership.stateTable.withPrefix(updateKeys.replicas)) {
+    const replica = reader.read(update);
     if (replica?.state !== 'serving') continue;
-    const { service, address, life } = replica;
+    const { service, address, instance } = replica;
     // Two lives at one address are two replicas.
-    slots.set(service, (slots.get(service) ?? new Map<string, number>()).set(life ?? address, replica.slots));
+    slots.set(service, (slots.get(service) ?? new Map<string, number>()).set(instance ?? address, replica.slots));
   }
   return new Map(
     [...slots].map(([service, replicas]) => [
--- a/programs/controller/src/leaseWatch.ts
+++ b/programs/controller/src/dispatcher/leaseWatch.ts
@@ -1,4 +1,4 @@
-import type { Setup } from '@pewterlanding/runtime';
+import type { Configuration } from '@pewterlanding/model';
 import { leaseKey } from '@pewterlanding/store';
 import type { OpenLease } from '@pewterlanding/store';
 
@@ -18,17 +18,17 @@
 
   /** A lease as a text, with its item. */
   static idOf({ ref, lease }: Pick<OpenLease, 'ref' | 'lease'>): string {
-    return `${ref.lot} ${ref.place} ${leaseKey(lease)}`;
+    return `${ref.batch} ${ref.position} ${leaseKey(lease)}`;
   }
 
-  overdue(lease: OpenLease, state: State, setup: Setup, nowMs: number): boolean {
+  overdue(lease: OpenLease, state: State, configuration: Configuration, nowMs: number): boolean {
     const id = LeaseWatch.idOf(lease);
     const known = this.#since.get(id);
     const sinceMs = known?.state === state ? known.sinceMs : nowMs;
     this.#since.set(id, { state, sinceMs });
     const runs = lease.route === undefined ? 1 : routeRuns;
-    const runMs = (setup.services[lease.service]?.runMs ?? 0) * runs + this.#failureTimeoutMs * 2;
-    return nowMs - sinceMs > { waits: setup.bounds.staleMs, lost: this.#failureTimeoutMs, runs: runMs }[state];
+    const runMs = (configuration.services[lease.service]?.runMs ?? 0) * runs + this.#failureTimeoutMs * 2;
+    return nowMs - sinceMs > { waits: configuration.bounds.staleMs, lost: this.#failureTimeoutMs, runs: runMs }[state];
   }
 
   /** Keeps only the leases that are open. */
--- a/programs/controller/src/sendLeases.ts
+++ b/programs/controller/src/dispatcher/sendLeases.ts
@@ -1,14 +1,15 @@
 import { agentCalls } from '@pewterlanding/agent';
 import type { LeaseOffer } from '@pewterlanding/agent';
 import type { Membership } from '@pewterlanding/membership';
-import type { Counters, NodeName, Wire } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
+import type { Counters, Transport } from '@pewterlanding/runtime';
 import type { Lease, QueuedItem } from '@pewterlanding/store';
-import type { LotsClient } from './lotsClient.js';
+import type { BatchShardClient } from './batchShardClient.js';
 
 interface Sender {
-  readonly epoch: number;
-  readonly lots: LotsClient;
-  readonly wire: Wire;
+  readonly term: number;
+  readonly batches: BatchShardClient;
+  readonly transport: Transport;
   readonly membership: Membership;
   readonly failureTimeoutMs: number;
   readonly counters: Counters;
@@ -22,10 +23,10 @@
   shard: string,
   reserved: readonly { readonly item: QueuedItem; readonly lease: Lease }[],
 ): Promise<void> {
-  const { lots, wire, membership, epoch, failureTimeoutMs, counters } = by;
+  const { batches, transport, membership, term, failureTimeoutMs, counters } = by;
   // The bytes of opaque items go straight from the shard's leader to the front, with their start.
   const plain = reserved.filter(({ item }) => item.route === undefined).map(({ item }) => item.ref);
-  const inputs = plain.length === 0 ? [] : await lots.inputs(shard, plain).catch(() => undefined);
+  const inputs = plain.length === 0 ? [] : await batches.inputs(shard, plain).catch(() => undefined);
   const inputOf = new Map(plain.map((ref, at) => [ref, inputs?.[at]]));
   const offers = new Map<NodeName, LeaseOffer[]>();
   reserved.forEach(({ item, lease }) => {
@@ -33,16 +34,16 @@
     if (input === undefined) return;
     const list = offers.get(lease.front) ?? [];
     offers.set(lease.front, list);
-    list.push({ shard, ref: item.ref, lease, branch: item.branch, service: item.service, tokens: item.tokens, input, item: itemOf(item) });
+    list.push({ shard, ref: item.ref, lease, quota: item.quota, service: item.service, tokens: item.tokens, input, item: itemOf(item) });
   });
   await Promise.all(
     [...offers].map(async ([front, list]) => {
-      const card = membership.card(front);
-      const back =
-        card === undefined || by.over()
+      const nodeRecord = membership.nodeRecord(front);
+      const response =
+        nodeRecord === undefined || by.over()
           ? undefined
-          : await wire.ask(card.address, agentCalls.lease, { epoch, offers: list }, failureTimeoutMs).catch(() => undefined);
-      counters.add(back?.taken === true ? 'dispatch.leased' : 'dispatch.unleased', list.length);
+          : await transport.ask(nodeRecord.address, agentCalls.lease, { term, offers: list }, failureTimeoutMs).catch(() => undefined);
+      counters.add(response?.taken === true ? 'dispatch.leased' : 'dispatch.unleased', list.length);
       // What did not arrive, or may not have, is left DISPATCHED and goes back when it is stale: the front may still start it.
     }),
   );
--- a/programs/controller/src/main.ts
+++ b/programs/controller/src/main.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from 'node:crypto';
 import meow from 'meow';
 import { runProgram } from '@pewterlanding/runtime';
-import { controllerHttp } from './controllerHttp.js';
+import { controllerHttp } from './operator-api/controllerHttp.js';
 import { startController } from './startController.js';
 
 const cli = meow(
@@ -19,9 +19,10 @@
 await runProgram({
   flags: cli.flags,
   needs: ['http', 'dataFolder'],
-  start: (given) =>
+  start: (granted) =>
     startController({
-      ...given,
-      serve: (parts) => controllerHttp({ ...parts, nextPlan: () => `plan_${randomUUID()}`, waitMs: parts.boot.failureTimeoutMs * 15 }),
+      ...granted,
+      serve: (parts) =>
+        controllerHttp({ ...parts, nextPlan: () => `plan_${randomUUID()}`, waitMs: parts.bootSettings.failureTimeoutMs * 15 }),
     }),
 });
--- a/programs/controller/src/changeBody.ts
+++ b/programs/controller/src/operator-api/changeBody.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 
 const Items = v.record(v.string(), v.unknown());
 const Names = v.optional(v.array(v.string()), []);
--- a/programs/controller/src/controllerHttp.ts
+++ b/programs/controller/src/operator-api/controllerHttp.ts
@@ -2,22 +2,23 @@
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import * as v from 'valibot';
 import { consensusCalls } from '@pewterlanding/consensus';
-import { check, NodeName, PlanId } from '@pewterlanding/runtime';
-import type { Clock, Counters, Finding, StartupTimeline, Wire } from '@pewterlanding/runtime';
+import { check, NodeName, PlanId } from '@pewterlanding/model';
+import type { Finding } from '@pewterlanding/model';
+import type { Clock, Counters, StartupTimeline, Transport } from '@pewterlanding/runtime';
 import type { Membership } from '@pewterlanding/membership';
 import { storeCalls } from '@pewterlanding/store';
-import { auditHash } from './auditHash.js';
+import { auditHash } from '../audit/auditHash.js';
 import { ChangeBody } from './changeBody.js';
-import type { Controller } from './controller.js';
-import { controllerCalls } from './controllerCalls.js';
-import { OperatorDesk } from './operatorDesk.js';
-import type { Plan } from './plan.js';
-import { Proposal } from './proposal.js';
+import type { Controller } from '../controller.js';
+import { controllerCalls } from '../controllerCalls.js';
+import { OperatorApi } from './operatorApi.js';
+import type { Plan } from '../configuration/plan.js';
+import { Proposal } from '../configuration/proposal.js';
 
 interface ControllerHttpOptions {
   readonly controller: Controller;
   readonly membership: Membership;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly timeline: StartupTimeline;
@@ -30,24 +31,24 @@
 
 /** What operators reach by HTTP, at any controller machine. */
 export function controllerHttp(options: ControllerHttpOptions): FastifyInstance {
-  const { controller, membership, wire, clock, counters, timeline, waitMs } = options;
+  const { controller, membership, transport, clock, counters, timeline, waitMs } = options;
   const app = Fastify({ bodyLimit: 8 << 20, forceCloseConnections: true });
   const { finder } = controller;
-  const desk = new OperatorDesk({ finder, clock, waitMs });
+  const operatorApi = new OperatorApi({ finder, clock, waitMs });
 
   app.post('/v1/plans', async (request, reply) => {
     const proposal = check(Proposal, request.body);
     if (!proposal.ok) return fail(reply, 400, 'the proposal cannot be read', proposal.findings);
     const id = check(PlanId, options.nextPlan());
     if (!id.ok) throw new Error('unreachable: ids made here can be read');
-    const back = await desk.plan(id.value, proposal.value);
-    if (back.plan === undefined) return fail(reply, 422, 'the proposal has findings', back.findings);
-    return reply.code(201).header('location', `/v1/plans/${id.value}`).send(shown(back.plan));
+    const response = await operatorApi.plan(id.value, proposal.value);
+    if (response.plan === undefined) return fail(reply, 422, 'the proposal has findings', response.findings);
+    return reply.code(201).header('location', `/v1/plans/${id.value}`).send(shown(response.plan));
   });
 
   app.get<{ Params: { plan: string } }>('/v1/plans/:plan', async (request, reply) => {
     const id = check(PlanId, request.params.plan);
-    const plan = id.ok ? await desk.readPlan(id.value) : undefined;
+    const plan = id.ok ? await operatorApi.readPlan(id.value) : undefined;
     return plan === undefined ? fail(reply, 404, 'no such plan') : reply.send(shown(plan));
   });
 
@@ -56,7 +57,7 @@
     const body = check(ConfirmBody, request.body ?? {});
     if (!body.ok) return fail(reply, 400, 'the confirmation cannot be read', body.findings);
     if (!id.ok) return fail(reply, 404, 'no such plan');
-    const { outcome, inForce } = await desk.confirm(id.value, body.value.acknowledged);
+    const { outcome, inForce } = await operatorApi.confirm(id.value, body.value.acknowledged);
     if (outcome.outcome === 'unknown') return fail(reply, 404, 'no such plan');
     if (outcome.outcome === 'conflict')
       return reply.code(409).send({ error: 'the setup has changed since this plan was made', ...outcome });
@@ -69,18 +70,23 @@
   });
 
   app.get('/v1/setup', async (_request, reply) => {
-    const { version, setup } = await desk.setup();
-    return reply.send({ version, setup: setup ?? null });
+    const { version, configuration } = await operatorApi.configuration();
+    return reply.send({ version, setup: configuration ?? null });
   });
   app.post('/v1/setup', async (request, reply) => {
     const body = check(ChangeBody, request.body);
     if (!body.ok) return fail(reply, 400, 'the change cannot be read', body.findings);
-    const { basedOn, mark } = body.value;
-    const change = 'whole' in body.value ? { t: 'whole' as const, setup: body.value.whole } : { t: 'items' as const, ...body.value.items };
-    const { outcome, ...back } = await desk.set({ basedOn, mark, hash: auditHash(JSON.stringify(body.value)), change });
-    if (outcome === 'conflict') return reply.code(409).send({ error: 'another setup is in force', mark: back.mark });
-    if (outcome === 'invalid') return reply.code(422).send({ error: 'the change has findings', ...back });
-    return reply.send({ mark: back.mark });
+    const { basedOn, mark: revision } = body.value;
+    const change =
+      'whole' in body.value ? { kind: 'whole' as const, configuration: body.value.whole } : { kind: 'items' as const, ...body.value.items };
+    const {
+      outcome,
+      revision: current,
+      findings,
+    } = await operatorApi.set({ basedOn, revision, hash: auditHash(JSON.stringify(body.value)), change });
+    if (outcome === 'conflict') return reply.code(409).send({ error: 'another setup is in force', mark: current });
+    if (outcome === 'invalid') return reply.code(422).send({ error: 'the change has findings', mark: current, findings });
+    return reply.send({ mark: current });
   });
   app.get('/v1/setup/history', async () => ({
     history: await finder.ask('setup', controllerCalls.history, {}, waitMs),
@@ -88,7 +94,11 @@
   app.get('/v1/audit', async () => finder.ask('setup', controllerCalls.audit, {}, waitMs));
   app.get('/v1/nodes', async () => {
     const fronts = await finder.ask('setup', controllerCalls.fronts, {}, waitMs).catch(() => []);
-    return { nodes: membership.cards().map((card) => ({ ...card, version: fronts.find((front) => front.front === card.name)?.version })) };
+    return {
+      nodes: membership
+        .nodeRecords()
+        .map((nodeRecord) => ({ ...nodeRecord, version: fronts.find((front) => front.front === nodeRecord.name)?.version })),
+    };
   });
   app.get('/v1/shards', async () => {
     const shards = ['setup', ...Object.keys(controller.table.shards).sort()];
@@ -104,29 +114,31 @@
   });
   app.post<{ Params: { name: string } }>('/v1/stores/:name/empty', async (request, reply) => {
     const name = check(NodeName, request.params.name);
-    const outcome = name.ok ? await desk.empty(name.value) : 'unknown';
+    const outcome = name.ok ? await operatorApi.empty(name.value) : 'unknown';
     if (outcome === 'unknown') return fail(reply, 404, 'no such store');
     if (outcome === 'too few') return fail(reply, 409, 'too few stores would be left for the copies');
     return reply.code(202).send({ outcome });
   });
   app.get<{ Params: { name: string } }>('/v1/stores/:name/empty', async (request, reply) => {
     const name = check(NodeName, request.params.name);
-    const outcome = name.ok ? await desk.emptied(name.value) : 'unknown';
+    const outcome = name.ok ? await operatorApi.emptied(name.value) : 'unknown';
     return outcome === 'unknown' ? fail(reply, 404, 'no such store is being emptied') : reply.send({ outcome });
   });
-  app.get('/v1/duties', async () => ({ duties: (await desk.setup()).duties }));
+  app.get('/v1/duties', async () => ({ duties: (await operatorApi.configuration()).singletonRoles }));
   app.get('/v1/branches', async (_request, reply) => {
-    const duty = controller.duty();
-    const back =
-      duty === undefined ? undefined : await wire.ask(duty.address, controllerCalls.branches, {}, waitMs / 4).catch(() => undefined);
-    return back === undefined ? fail(reply, 503, 'nobody holds the counter now') : reply.send(back);
+    const singletonRole = controller.singletonRole();
+    const response =
+      singletonRole === undefined
+        ? undefined
+        : await transport.ask(singletonRole.address, controllerCalls.quotas, {}, waitMs / 4).catch(() => undefined);
+    return response === undefined ? fail(reply, 503, 'nobody holds the counter now') : reply.send(response);
   });
   app.get('/v1/lots', async () => {
     const shards = Object.keys(controller.table.shards).filter((shard) => shard.startsWith('lots-'));
-    const lots = await Promise.all(
-      shards.map((shard) => finder.ask(shard, storeCalls.lots, { shard, most: 100 }, waitMs / 4).catch(() => [])),
+    const batches = await Promise.all(
+      shards.map((shard) => finder.ask(shard, storeCalls.batches, { shard, limit: 100 }, waitMs / 4).catch(() => [])),
     );
-    return { lots: lots.flat().sort((a, b) => b.createdMs - a.createdMs) };
+    return { lots: batches.flat().sort((a, b) => b.createdMs - a.createdMs) };
   });
   app.get('/ready', async (_request, reply) => {
     // Anything that only the setup's leader says; the setup itself may be large.
@@ -139,7 +151,7 @@
   app.get('/status', async () => ({
     name: membership.name,
     shard: controller.member?.view(),
-    duty: controller.duty(),
+    duty: controller.singletonRole(),
     startup: timeline.stages(),
     counters: counters.all(),
   }));
--- a/programs/controller/src/operatorDesk.ts
+++ b/programs/controller/src/operator-api/operatorApi.ts
@@ -1,15 +1,17 @@
 import type { LeaderFinder } from '@pewterlanding/consensus';
-import { isFields, pause } from '@pewterlanding/runtime';
-import type { Clock, Finding, NodeName, PlanId } from '@pewterlanding/runtime';
-import type { ChangeOutcome } from './changeOutcome.js';
-import { controllerCalls } from './controllerCalls.js';
-import type { Plan } from './plan.js';
-import type { PlanOutcome } from './planOutcome.js';
-import type { Proposal } from './proposal.js';
-import { seatCalls } from './seatCalls.js';
-import type { SetupChange } from './setupChange.js';
+import { isFields } from '@pewterlanding/model';
+import { pause } from '@pewterlanding/runtime';
+import type { Finding, NodeName, PlanId } from '@pewterlanding/model';
+import type { Clock } from '@pewterlanding/runtime';
+import type { ChangeOutcome } from '../configuration/changeOutcome.js';
+import { controllerCalls } from '../controllerCalls.js';
+import type { Plan } from '../configuration/plan.js';
+import type { PlanOutcome } from '../configuration/planOutcome.js';
+import type { Proposal } from '../configuration/proposal.js';
+import { placementCalls } from '../placement/placementCalls.js';
+import type { ConfigurationChange } from '../configuration/configurationChange.js';
 
-interface OperatorDeskOptions {
+interface OperatorApiOptions {
   readonly finder: LeaderFinder;
   readonly clock: Clock;
   /** How long an operator's word may take; a confirmation waits for fronts that lapse. */
@@ -27,10 +29,10 @@
 const itemMs = 3;
 
 /** What an operator asks of the controller, wherever its leader is. */
-export class OperatorDesk {
-  readonly #options: OperatorDeskOptions;
+export class OperatorApi {
+  readonly #options: OperatorApiOptions;
 
-  constructor(options: OperatorDeskOptions) {
+  constructor(options: OperatorApiOptions) {
     this.#options = options;
   }
 
@@ -42,13 +44,13 @@
     return this.#options.finder.ask('setup', controllerCalls.readPlan, { plan }, this.#options.waitMs);
   }
 
-  setup(waitMs = this.#options.waitMs) {
-    return this.#options.finder.ask('setup', controllerCalls.setup, {}, waitMs);
+  configuration(waitMs = this.#options.waitMs) {
+    return this.#options.finder.ask('setup', controllerCalls.configuration, {}, waitMs);
   }
 
   /** Puts a change in force in one call. May be sent again unchanged, at any controller. No front is waited for. */
-  set(change: SetupChange, waitMs = this.#options.waitMs): Promise<ChangeOutcome> {
-    const named = change.change.t === 'whole' ? change.change.setup : change.change;
+  set(change: ConfigurationChange, waitMs = this.#options.waitMs): Promise<ChangeOutcome> {
+    const named = change.change.kind === 'whole' ? change.change.configuration : change.change;
     const items = [named['routes'], named['services']].reduce((sum: number, all) => sum + (isFields(all) ? Object.keys(all).length : 0), 0);
     // Asked again too early, a large change would only be worked on twice.
     return this.#options.finder.ask('setup', controllerCalls.set, { change }, waitMs, items * itemMs);
@@ -56,12 +58,12 @@
 
   /** Has a store that joined by itself emptied, so that it can be taken away. */
   empty(name: NodeName): Promise<'started' | 'unknown' | 'too few'> {
-    return this.#options.finder.ask('setup', seatCalls.empty, { name }, this.#options.waitMs);
+    return this.#options.finder.ask('setup', placementCalls.empty, { name }, this.#options.waitMs);
   }
 
   /** How far that has come; `settled` once the store may be taken away with its disk. */
   emptied(name: NodeName): Promise<'running' | 'settled' | 'unknown'> {
-    return this.#options.finder.ask('setup', seatCalls.emptied, { name }, this.#options.waitMs);
+    return this.#options.finder.ask('setup', placementCalls.emptied, { name }, this.#options.waitMs);
   }
 
   /** Confirms, and returns a confirmation only once it is in force everywhere, or when patience ends. */
@@ -71,8 +73,8 @@
     const untilMs = clock.nowMs() + waitMs;
     for (;;) {
       const leftMs = Math.max(1, untilMs - clock.nowMs());
-      const back = await finder.ask('setup', controllerCalls.confirm, { plan, acknowledged, atMs }, leftMs);
-      if (back.outcome.outcome !== 'confirmed' || back.inForce || clock.nowMs() >= untilMs) return back;
+      const response = await finder.ask('setup', controllerCalls.confirm, { plan, acknowledged, atMs }, leftMs);
+      if (response.outcome.outcome !== 'confirmed' || response.inForce || clock.nowMs() >= untilMs) return response;
       await pause(clock, waitMs / pollsPerWait);
     }
   }
--- a/programs/controller/src/initialGroup.ts
+++ b/programs/controller/src/placement/initialGroup.ts
@@ -1,19 +1,20 @@
 import { consensusCalls } from '@pewterlanding/consensus';
 import type { GroupMember } from '@pewterlanding/consensus';
-import type { Address, Wire } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { Transport } from '@pewterlanding/runtime';
 
 /**
  * The first group of a shard that has none: every machine that shall hold a copy, each a voter.
  * Undefined while one of them does not answer, since a group must not begin without its full set of voters.
  */
 export async function initialGroup(
-  wire: Wire,
+  transport: Transport,
   shard: string,
   addresses: readonly Address[],
   waitMs: number,
 ): Promise<GroupMember[] | undefined> {
   const answers = await Promise.all(
-    addresses.map((address) => wire.ask(address, consensusCalls.identify, { shard }, waitMs).catch(() => undefined)),
+    addresses.map((address) => transport.ask(address, consensusCalls.identify, { shard }, waitMs).catch(() => undefined)),
   );
   const group = answers.flatMap((identity) => (identity === undefined ? [] : [{ identity, isVoter: true }]));
   return group.length < addresses.length ? undefined : group;
--- a/programs/controller/src/nextSeating.ts
+++ b/programs/controller/src/placement/nextPlacement.ts
@@ -1,8 +1,8 @@
-import { entriesOf, rendezvous } from '@pewterlanding/runtime';
-import type { NodeName } from '@pewterlanding/runtime';
-import type { Seating } from './seating.js';
+import { entriesOf, rendezvous } from '@pewterlanding/model';
+import type { NodeName } from '@pewterlanding/model';
+import type { Placement } from './placement.js';
 
-type StateMachine = Seating['machines'][NodeName];
+type StateMachine = Placement['machines'][NodeName];
 
 interface PlacedShard {
   readonly shard: string;
@@ -12,7 +12,7 @@
   readonly sitting: readonly NodeName[];
 }
 
-interface SeatingView {
+interface PlacementView {
   /** The machines that are here. */
   readonly live: readonly (StateMachine & { readonly name: NodeName })[];
   /** Whether a machine has been away for so long that its seats may go to others. */
@@ -26,7 +26,7 @@
  * The seating that follows from who is here; undefined where it stays. Who sits stays seated while it is here, or while nobody
  * else could sit there instead; a newcomer sits last, so that its coming moves no ownership.
  */
-export function nextSeating(now: Seating, view: SeatingView): Seating | undefined {
+export function nextPlacement(now: Placement, view: PlacementView): Placement | undefined {
   const machines = new Map(entriesOf(now.machines));
   // A machine of an old name at a new address is another machine: what was asked of the old one does not bind it.
   const moved = new Set(
@@ -36,8 +36,8 @@
   const emptying = now.emptying.filter((name) => !moved.has(name));
   const shards: Record<string, NodeName[]> = {};
   for (const wanted of view.shards) {
-    const seats = seatsOf(wanted, { now, view, machines, emptying });
-    if (seats.length > 0) shards[wanted.shard] = seats;
+    const members = seatsOf(wanted, { now, view, machines, emptying });
+    if (members.length > 0) shards[wanted.shard] = members;
   }
   const here = new Set(view.live.map(({ name }) => name));
   const seated = new Set(Object.values(shards).flat());
@@ -52,8 +52,8 @@
 }
 
 interface Ground {
-  readonly now: Seating;
-  readonly view: SeatingView;
+  readonly now: Placement;
+  readonly view: PlacementView;
   readonly machines: ReadonlyMap<NodeName, StateMachine>;
   readonly emptying: readonly NodeName[];
 }
@@ -63,41 +63,42 @@
   if (now.shards[shard] === undefined && before.length < sitting.length && !view.patient) return [];
   const candidates = rendezvous(
     shard,
-    view.live.filter((card) => card.role === role && !emptying.includes(card.name)).map(({ name }) => name),
+    view.live.filter((nodeRecord) => nodeRecord.role === role && !emptying.includes(nodeRecord.name)).map(({ name }) => name),
   );
   // A shard that begins shall begin whole, unless the others fail to come.
   if (before.length === 0 && candidates.length < copies && !view.patient) return [];
   const zoneOf = (name: NodeName): string => machines.get(name)?.zone ?? '';
-  const inZone = (seats: readonly NodeName[], zone: string): number => seats.filter((name) => zoneOf(name) === zone).length;
+  const inZone = (members: readonly NodeName[], zone: string): number => members.filter((name) => zoneOf(name) === zone).length;
   /** The candidate from the zone that holds the fewest of these seats. */
-  const pick = (seats: readonly NodeName[], but?: NodeName): NodeName | undefined =>
+  const pick = (members: readonly NodeName[], but?: NodeName): NodeName | undefined =>
     candidates
-      .filter((name) => !seats.includes(name) && name !== but)
+      .filter((name) => !members.includes(name) && name !== but)
       .reduce<NodeName | undefined>(
-        (best, name) => (best === undefined || inZone(seats, zoneOf(name)) < inZone(seats, zoneOf(best)) ? name : best),
+        (best, name) => (best === undefined || inZone(members, zoneOf(name)) < inZone(members, zoneOf(best)) ? name : best),
         undefined,
       );
-  let seats = before;
+  let members = before;
   const leaving = [...before.filter((name) => view.gone(name)), ...before.filter((name) => !view.gone(name) && emptying.includes(name))];
   for (const name of leaving) {
-    const others = seats.filter((other) => other !== name);
+    const others = members.filter((other) => other !== name);
     const newcomer = pick(others, name);
     // Without anybody to take it the seat stays: a copy that may come back is better than none.
-    if (newcomer !== undefined) seats = [...others, newcomer];
-    else if (others.length >= copies) seats = others;
+    if (newcomer !== undefined) members = [...others, newcomer];
+    else if (others.length >= copies) members = others;
   }
-  for (let newcomer = pick(seats); seats.length < copies && newcomer !== undefined; newcomer = pick(seats)) seats = [...seats, newcomer];
-  while (seats.length > copies) {
-    const last = seats.findLast((name) => leaving.includes(name)) ?? seats.at(-1);
-    seats = seats.filter((name) => name !== last);
+  for (let newcomer = pick(members); members.length < copies && newcomer !== undefined; newcomer = pick(members))
+    members = [...members, newcomer];
+  while (members.length > copies) {
+    const last = members.findLast((name) => leaving.includes(name)) ?? members.at(-1);
+    members = members.filter((name) => name !== last);
   }
   // Copies crowded in one zone spread, one at a time, once nothing else is to be done.
-  const settled = seats.length === before.length && seats.every((name, place) => name === before[place]);
-  if (!settled || leaving.length > 0) return [...seats];
-  for (const name of [...seats].reverse()) {
-    const others = seats.filter((other) => other !== name);
+  const settled = members.length === before.length && members.every((name, position) => name === before[position]);
+  if (!settled || leaving.length > 0) return [...members];
+  for (const name of [...members].reverse()) {
+    const others = members.filter((other) => other !== name);
     const newcomer = pick(others, name);
-    if (newcomer !== undefined && inZone(seats, zoneOf(name)) > inZone(seats, zoneOf(newcomer)) + 1) return [...others, newcomer];
+    if (newcomer !== undefined && inZone(members, zoneOf(name)) > inZone(members, zoneOf(newcomer)) + 1) return [...others, newcomer];
   }
-  return [...seats];
+  return [...members];
 }
--- a/programs/controller/src/placedShards.ts
+++ b/programs/controller/src/placement/placedShards.ts
@@ -1,6 +1,6 @@
-import { entriesOf } from '@pewterlanding/runtime';
-import type { Address, NodeName } from '@pewterlanding/runtime';
-import type { Seating } from './seating.js';
+import { entriesOf } from '@pewterlanding/model';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Placement } from './placement.js';
 
 interface Wanted {
   readonly name: NodeName;
@@ -8,10 +8,10 @@
 }
 
 /** Where every shard shall sit, with the addresses that the machines announced. */
-export function placedShards(seating: Seating): ReadonlyMap<string, Wanted[]> {
-  const machines = new Map(entriesOf(seating.machines));
+export function placedShards(placement: Placement): ReadonlyMap<string, Wanted[]> {
+  const machines = new Map(entriesOf(placement.machines));
   return new Map(
-    Object.entries(seating.shards).map(([shard, names]) => [
+    Object.entries(placement.shards).map(([shard, names]) => [
       shard,
       names.flatMap((name) => {
         const machine = machines.get(name);
--- a/programs/controller/src/keptLives.ts
+++ b/programs/controller/src/replicas/knownInstances.ts
@@ -1,15 +1,16 @@
 import { Replica } from '@pewterlanding/agent';
+import { renameFields } from '@pewterlanding/model';
 import type { Clock, Counters, Disk } from '@pewterlanding/runtime';
 import { Journal } from '@pewterlanding/runtime';
 import * as v from 'valibot';
 
-interface KeptLivesOptions {
+interface KnownInstancesOptions {
   readonly disk: Disk;
   readonly clock: Clock;
   readonly counters: Counters;
   /** How long changes are gathered before the file is written. */
   readonly gatherMs: number;
-  readonly lives: () => readonly Replica[];
+  readonly instances: () => readonly Replica[];
 }
 
 const file = 'replica.lives';
@@ -19,15 +20,15 @@
  * The lives that a controller knows, in a file beside the shards. It only helps fronts over the first moments after all
  * machines were off; who lost it waits for the replicas' next words. So nothing waits for its writing.
  */
-export class KeptLives {
-  readonly #options: KeptLivesOptions;
+export class KnownInstances {
+  readonly #options: KnownInstancesOptions;
   readonly #journal: Journal;
   #cancel: (() => void) | undefined;
   #writing = false;
   #again = false;
   #closed = false;
 
-  constructor(options: KeptLivesOptions) {
+  constructor(options: KnownInstancesOptions) {
     this.#options = options;
     this.#journal = new Journal(options.disk, file);
   }
@@ -35,7 +36,7 @@
   /** What was known when the file was last written. */
   async recall(): Promise<readonly Replica[]> {
     const { records } = await this.#journal.open();
-    const read = v.safeParse(Kept, records.at(-1));
+    const read = v.safeParse(Kept, renameFields(records.at(-1), { life: 'instance' }));
     return read.success ? read.output : [];
   }
 
@@ -52,12 +53,12 @@
   }
 
   async #write(): Promise<void> {
-    const { counters, lives } = this.#options;
+    const { counters, instances } = this.#options;
     this.#cancel = undefined;
     this.#again = false;
     this.#writing = true;
     try {
-      await this.#journal.rewrite([lives()]);
+      await this.#journal.rewrite([instances()]);
     } catch {
       counters.add('replica.livesNotKept');
     } finally {
--- a/programs/controller/src/replicaWatch.ts
+++ b/programs/controller/src/replicas/replicaRegistry.ts
@@ -1,15 +1,16 @@
 import * as v from 'valibot';
-import { allowsReplica, newsKeys, Replica } from '@pewterlanding/agent';
-import type { Membership, News } from '@pewterlanding/membership';
+import { allowsReplica, updateKeys, Replica } from '@pewterlanding/agent';
+import type { Membership, Update } from '@pewterlanding/membership';
 import { every } from '@pewterlanding/runtime';
-import type { Clock, Counters, Disk, Setup, Wire } from '@pewterlanding/runtime';
-import { ControllerContacts } from './controllerContacts.js';
-import { controllerCalls } from './controllerCalls.js';
-import { KeptLives } from './keptLives.js';
+import type { Configuration } from '@pewterlanding/model';
+import type { Clock, Counters, Disk, Transport } from '@pewterlanding/runtime';
+import { ControllerContacts } from '../controllerContacts.js';
+import { controllerCalls } from '../controllerCalls.js';
+import { KnownInstances } from './knownInstances.js';
 
-interface ReplicaWatchOptions {
+interface ReplicaRegistryOptions {
   readonly membership: Membership;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly disk: Disk;
   readonly clock: Clock;
   readonly counters: Counters;
@@ -17,10 +18,10 @@
   readonly heartbeatMs: number;
   /** So many beats without a word, and a life is taken to be gone. */
   readonly silentRatio?: number;
-  readonly setup: () => Setup | undefined;
+  readonly configuration: () => Configuration | undefined;
 }
 
-interface Life {
+interface Instance {
   /** As it last stood on the board, or was announced here. */
   replica: Replica;
   /** The highest counter that any controller is known to have heard. */
@@ -28,7 +29,7 @@
   heardMs: number;
 }
 
-const silentBeats = 3.2;
+const silentHeartbeats = 3.2;
 /** Changes are gathered for the disk so many beats. */
 const keepRatio = 1;
 /** Ratios to the heartbeat: controllers share what they heard once, say so when it was nothing, and forget an ended life after the last. */
@@ -50,38 +51,38 @@
  * and none had heard it: a controller that is cut off hears no others and keeps quiet. What the disk keeps only shortens the
  * first moments after all controllers were off.
  */
-export class ReplicaWatch {
-  readonly #options: ReplicaWatchOptions;
+export class ReplicaRegistry {
+  readonly #options: ReplicaRegistryOptions;
   readonly #silentMs: number;
-  readonly #lives = new Map<string, Life>();
+  readonly #instances = new Map<string, Instance>();
   readonly #untold = new Map<string, number>();
   readonly #contacts: ControllerContacts;
-  readonly #kept: KeptLives;
+  readonly #kept: KnownInstances;
   readonly #stop: () => void;
   #cancelTell: (() => void) | undefined;
   #toldMs = 0;
   #lookedMs: number;
 
-  constructor(options: ReplicaWatchOptions) {
+  constructor(options: ReplicaRegistryOptions) {
     this.#options = options;
-    const { membership, wire, clock, heartbeatMs } = options;
-    this.#kept = new KeptLives({
+    const { membership, transport, clock, heartbeatMs } = options;
+    this.#kept = new KnownInstances({
       ...options,
       gatherMs: heartbeatMs * keepRatio,
-      lives: () => [...this.#lives.values()].map(({ replica }) => replica),
+      instances: () => [...this.#instances.values()].map(({ replica }) => replica),
     });
-    this.#silentMs = heartbeatMs * (options.silentRatio ?? silentBeats);
+    this.#silentMs = heartbeatMs * (options.silentRatio ?? silentHeartbeats);
     this.#lookedMs = clock.nowMs();
-    membership.onNews((news) => this.#takeNews(news));
+    membership.onUpdate((update) => this.#takeUpdate(update));
     this.#contacts = new ControllerContacts({
       membership,
       clock,
       lastingMs: heartbeatMs * contactRatio,
       speakingMs: heartbeatMs * speakingRatio,
     });
-    wire.serve(controllerCalls.heard, async ({ from, lives, hears }) => {
+    transport.serve(controllerCalls.heard, async ({ from, instances, hears }) => {
       this.#contacts.heard(from, hears);
-      for (const [key, counter] of lives) this.#hear(this.#lives.get(newsKeys.replicas + key), counter);
+      for (const [key, counter] of instances) this.#hear(this.#instances.get(updateKeys.replicas + key), counter);
       return {};
     });
     this.#stop = every(clock, heartbeatMs * signRatio, () => this.#look());
@@ -90,8 +91,8 @@
   /** Puts back on the board what was known here before: fronts may try it at once, and its next words are awaited as usual. */
   async open(): Promise<void> {
     for (const replica of await this.#kept.recall()) {
-      const key = newsKeys.replica(replica.service, replica.life ?? replica.address);
-      if (this.#options.membership.board.get(key) === undefined) this.#put(key, replica, replica.state === 'silent' ? 1 : 0);
+      const key = updateKeys.replica(replica.service, replica.instance ?? replica.address);
+      if (this.#options.membership.stateTable.get(key) === undefined) this.#put(key, replica, replica.state === 'silent' ? 1 : 0);
     }
   }
 
@@ -101,30 +102,30 @@
    * the others would call it silent. Nor does such a controller refuse, for its setup may be old.
    */
   announce(replica: Replica): 'taken' | 'not allowed' | 'stale' | 'cut off' {
-    const { counters, clock, setup } = this.#options;
+    const { counters, clock, configuration } = this.#options;
     // A service that no setup knows yet is no fault: fronts route only to what is in both.
-    const rule = setup()?.services[replica.service];
+    const rule = configuration()?.services[replica.service];
     if (rule !== undefined && !allowsReplica(rule, replica)) {
       counters.add('replica.refused');
       return this.#cutOff() ? 'cut off' : 'not allowed';
     }
-    const key = newsKeys.replica(replica.service, replica.life ?? replica.address);
-    const known = this.#lives.get(key) ?? this.#recalled(key);
+    const key = updateKeys.replica(replica.service, replica.instance ?? replica.address);
+    const known = this.#instances.get(key) ?? this.#recalled(key);
     if (known !== undefined && replica.incarnation < known.counter) {
       counters.add('replica.stale');
       return 'stale';
     }
-    const news = known === undefined || wordOf(known.replica) !== wordOf(replica);
-    if (known === undefined) this.#lives.set(key, { replica, counter: replica.incarnation, heardMs: clock.nowMs() });
+    const update = known === undefined || wordOf(known.replica) !== wordOf(replica);
+    if (known === undefined) this.#instances.set(key, { replica, counter: replica.incarnation, heardMs: clock.nowMs() });
     else this.#hear(known, replica.incarnation);
-    if (news) this.#put(key, replica);
+    if (update) this.#put(key, replica);
     this.#tellSoon(key, replica.incarnation);
     return this.#cutOff() ? 'cut off' : 'taken';
   }
 
   /** A life takes its leave, whoever heard it last; nothing under its name serves again. */
-  leave(life: string): 'taken' | 'unknown' | 'cut off' {
-    const left = [...this.#lives].filter(([, { replica }]) => replica.life === life);
+  leave(instance: string): 'taken' | 'unknown' | 'cut off' {
+    const left = [...this.#instances].filter(([, { replica }]) => replica.instance === instance);
     for (const [key, { replica }] of left) this.#put(key, { ...replica, state: 'leaving', incarnation: lastCounter });
     if (this.#cutOff()) return 'cut off';
     return left.length > 0 ? 'taken' : 'unknown';
@@ -147,17 +148,17 @@
     this.#options.membership.put({ key, version: [replica.incarnation, turn], volatile: false, value: replica });
   }
 
-  #takeNews(news: News): void {
-    if (!news.key.startsWith(newsKeys.replicas)) return;
-    const read = v.safeParse(Replica, news.value);
-    if (!read.success || read.output.life === undefined) return;
+  #takeUpdate(update: Update): void {
+    if (!update.key.startsWith(updateKeys.replicas)) return;
+    const read = v.safeParse(Replica, update.value);
+    if (!read.success || read.output.instance === undefined) return;
     const replica = read.output;
     const now = this.#options.clock.nowMs();
     this.#kept.changed();
-    const known = this.#lives.get(news.key);
+    const known = this.#instances.get(update.key);
     if (known === undefined) {
       // Heard of for the first time: it gets a whole silence before it is judged here.
-      this.#lives.set(news.key, { replica, counter: replica.incarnation, heardMs: now });
+      this.#instances.set(update.key, { replica, counter: replica.incarnation, heardMs: now });
       return;
     }
     const before = known.replica;
@@ -166,38 +167,38 @@
     else if (known.counter <= replica.incarnation) known.counter = replica.incarnation;
     // It was heard since, here or by a controller that those who call it silent do not hear.
     else if (before.state === 'serving' && now - known.heardMs <= this.#silentMs)
-      this.#put(news.key, { ...replica, state: 'serving', incarnation: known.counter });
+      this.#put(update.key, { ...replica, state: 'serving', incarnation: known.counter });
   }
 
   /** What was forgotten here still stands on the board: an ended life must not begin anew for that. */
-  #recalled(key: string): Life | undefined {
-    const news = this.#options.membership.board.get(key);
-    if (news !== undefined) this.#takeNews(news);
-    return this.#lives.get(key);
+  #recalled(key: string): Instance | undefined {
+    const update = this.#options.membership.stateTable.get(key);
+    if (update !== undefined) this.#takeUpdate(update);
+    return this.#instances.get(key);
   }
 
-  #hear(life: Life | undefined, counter: number): void {
-    if (life === undefined || counter < life.counter) return;
+  #hear(instance: Instance | undefined, counter: number): void {
+    if (instance === undefined || counter < instance.counter) return;
     // The same word told twice is no new hearing.
-    if (counter > life.counter) life.heardMs = this.#options.clock.nowMs();
-    life.counter = counter;
+    if (counter > instance.counter) instance.heardMs = this.#options.clock.nowMs();
+    instance.counter = counter;
   }
 
   #tellSoon(key: string, counter: number): void {
-    this.#untold.set(key.slice(newsKeys.replicas.length), counter);
+    this.#untold.set(key.slice(updateKeys.replicas.length), counter);
     this.#cancelTell ??= this.#options.clock.after(this.#options.heartbeatMs * togetherRatio, () => this.#tell());
   }
 
   #tell(): void {
-    const { membership, wire, clock } = this.#options;
+    const { membership, transport, clock } = this.#options;
     this.#cancelTell?.();
     this.#cancelTell = undefined;
     this.#toldMs = clock.nowMs();
-    const lives = [...this.#untold];
+    const instances = [...this.#untold];
     this.#untold.clear();
-    for (const card of membership.live())
-      if (card.role === 'controller' && card.name !== membership.name)
-        wire.tell(card.address, controllerCalls.heard, { from: membership.name, lives, hears: this.#contacts.speaking() });
+    for (const nodeRecord of membership.live())
+      if (nodeRecord.role === 'controller' && nodeRecord.name !== membership.name)
+        transport.tell(nodeRecord.address, controllerCalls.heard, { from: membership.name, instances, hears: this.#contacts.speaking() });
   }
 
   #look(): void {
@@ -206,20 +207,20 @@
     const stoodStill = now - this.#lookedMs > heartbeatMs * signRatio * lateRatio;
     this.#lookedMs = now;
     // Those that watch no life do not speak, and who stood still has words waiting: silence then says nothing.
-    if (this.#lives.size === 0 || stoodStill) this.#contacts.forget();
-    if (this.#lives.size === 0) return;
+    if (this.#instances.size === 0 || stoodStill) this.#contacts.forget();
+    if (this.#instances.size === 0) return;
     this.#contacts.look();
     if (now - this.#toldMs >= heartbeatMs * signRatio) this.#tell();
-    for (const [key, life] of this.#lives) {
+    for (const [key, instance] of this.#instances) {
       // Whoever stood still has words waiting that it has not read yet.
-      if (stoodStill) life.heardMs = now;
-      const { state } = life.replica;
+      if (stoodStill) instance.heardMs = now;
+      const { state } = instance.replica;
       if (state !== 'serving') {
         // The board goes on knowing it; what is watched must not grow with every life there ever was.
-        if (now - life.heardMs > heartbeatMs * forgetRatio) this.#lives.delete(key);
-      } else if (now - life.heardMs > this.#silentMs && this.#contacts.mostSpokeSince(life.heardMs + this.#silentMs)) {
+        if (now - instance.heardMs > heartbeatMs * forgetRatio) this.#instances.delete(key);
+      } else if (now - instance.heardMs > this.#silentMs && this.#contacts.maxSpokeSince(instance.heardMs + this.#silentMs)) {
         counters.add('replica.wentSilent');
-        this.#put(key, { ...life.replica, state: 'silent', incarnation: life.counter }, 1);
+        this.#put(key, { ...instance.replica, state: 'silent', incarnation: instance.counter }, 1);
       }
     }
   }
--- /dev/null
+++ b/programs/controller/src/replicas/serviceCommand.ts
@@ -0,0 +1,9 @@
+import * as v from 'valibot';
+import { Address, Count, ServiceName } from '@pewterlanding/model';
+
+/** What changes a service shard. */
+export const ServiceCommand = v.variant('kind', [
+  v.strictObject({ kind: v.literal('learn'), service: ServiceName, outputTokens: Count }),
+  v.strictObject({ kind: v.literal('left'), service: ServiceName, address: Address, incarnation: Count }),
+]);
+export type ServiceCommand = v.InferOutput<typeof ServiceCommand>;
--- a/programs/controller/src/services.ts
+++ b/programs/controller/src/replicas/serviceRegistry.ts
@@ -1,48 +1,48 @@
 import * as v from 'valibot';
 import type { HostedShard, ShardHost } from '@pewterlanding/consensus';
 import { ShardSet, ShardMap } from '@pewterlanding/consensus';
-import { newsKeys, Replica, Usage } from '@pewterlanding/agent';
-import { shardOf } from '@pewterlanding/runtime';
-import type { ServiceName, Setup } from '@pewterlanding/runtime';
+import { updateKeys, Replica, Usage } from '@pewterlanding/agent';
+import { shardOf } from '@pewterlanding/model';
+import type { ServiceName, Configuration } from '@pewterlanding/model';
 import { announceGroup } from '@pewterlanding/store';
-import type { ControllerOptions } from './controllerOptions.js';
+import type { ControllerOptions } from '../controllerOptions.js';
 import type { ServiceCommand } from './serviceCommand.js';
 import { ServiceShard } from './serviceShard.js';
 
 type Done = ReturnType<ServiceShard['apply']>;
 
 /** The service shards on a controller. All controllers see the news; the leader of a service's part writes what must last and tells it. */
-export class Services {
+export class ServiceRegistry {
   readonly #options: ControllerOptions;
-  readonly #setup: () => Setup | undefined;
+  readonly #configuration: () => Configuration | undefined;
   readonly #shards: ShardSet<ServiceCommand, Done, ServiceShard>;
 
-  constructor(options: ControllerOptions, host: ShardHost, setup: () => Setup | undefined) {
-    const { membership, wire, clock, counters, log, bounds } = options;
+  constructor(options: ControllerOptions, host: ShardHost, configuration: () => Configuration | undefined) {
+    const { membership, transport, clock, counters, log, bounds } = options;
     this.#options = options;
-    this.#setup = setup;
+    this.#configuration = configuration;
     this.#shards = new ShardSet<ServiceCommand, Done, ServiceShard>({
       prefix: 'services-',
       name: membership.name,
       host,
-      wire,
+      transport,
       clock,
       counters,
       log,
       fatal: options.fatal,
       failureTimeoutMs: bounds.failureTimeoutMs,
       stateMachine: () => new ServiceShard(),
-      told: (shard) => membership.board.get(ShardMap.groupKey(shard))?.value,
+      told: (shard) => membership.stateTable.get(ShardMap.groupKey(shard))?.value,
       tell: (member) => announceGroup(membership, member),
       applied: (kept) => this.#tell(kept),
     });
-    membership.onCard((card, begun) => {
-      if (begun) this.#shards.meet(card.address);
+    membership.onNodeRecord((nodeRecord, begun) => {
+      if (begun) this.#shards.meet(nodeRecord.address);
     });
-    membership.onNews((news) => {
-      if (news.key === ShardMap.key) this.#shards.take(ShardMap.read(news.value));
-      if (news.key.startsWith(newsKeys.replicas)) this.#notice(news.value);
-      if (news.key.startsWith(newsKeys.usages)) this.#learn(news.value);
+    membership.onUpdate((update) => {
+      if (update.key === ShardMap.key) this.#shards.take(ShardMap.read(update.value));
+      if (update.key.startsWith(updateKeys.replicas)) this.#notice(update.value);
+      if (update.key.startsWith(updateKeys.usages)) this.#learn(update.value);
     });
   }
 
@@ -60,20 +60,20 @@
 
   #learn(value: unknown): void {
     const read = v.safeParse(Usage, value);
-    if (read.success) this.#write(read.output.service, { t: 'learn', ...read.output });
+    if (read.success) this.#write(read.output.service, { kind: 'learn', ...read.output });
   }
 
   /** A replica's life that ended must stay ended, even when every front has forgotten it. */
   #notice(value: unknown): void {
     const read = v.safeParse(Replica, value);
     // A life that names itself never returns under its name: nothing has to outlast the fronts.
-    if (!read.success || read.output.state !== 'leaving' || read.output.life !== undefined) return;
+    if (!read.success || read.output.state !== 'leaving' || read.output.instance !== undefined) return;
     const { service, address, incarnation } = read.output;
-    this.#write(service, { t: 'left', service, address, incarnation });
+    this.#write(service, { kind: 'left', service, address, incarnation });
   }
 
   #write(service: ServiceName, command: ServiceCommand): void {
-    const shard = shardOf('services', service, this.#setup()?.serviceShards ?? 1);
+    const shard = shardOf('services', service, this.#configuration()?.serviceShards ?? 1);
     // The command is its own id: all that see the same news write it once.
     this.#shards
       .asLeader(shard, ({ member }) => member.propose(JSON.stringify(command), command))
@@ -83,7 +83,7 @@
   #tell({ stateMachine, member }: HostedShard<ServiceCommand, Done, ServiceShard>): void {
     for (const [service, known] of Object.entries(stateMachine.services)) {
       this.#options.membership.put({
-        key: newsKeys.service(service),
+        key: updateKeys.service(service),
         version: [member.term, member.committed],
         volatile: false,
         value: known,
--- a/programs/controller/src/reachesMajority.ts
+++ b/programs/controller/src/roles/reachesMajority.ts
@@ -1,9 +1,10 @@
 import type { GroupMember } from '@pewterlanding/consensus';
 import { consensusCalls } from '@pewterlanding/consensus';
-import type { NodeName, Wire } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
+import type { Transport } from '@pewterlanding/runtime';
 
 interface MajorityProbe {
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly self: NodeName;
   /** The configuration shard's group as this node knows it. */
   readonly group: readonly GroupMember[];
@@ -11,7 +12,7 @@
 }
 
 /** Whether a majority of the configuration shard's voters answers this node, itself included where it is one. */
-export async function reachesMajority({ wire, self, group, waitMs }: MajorityProbe): Promise<boolean> {
+export async function reachesMajority({ transport, self, group, waitMs }: MajorityProbe): Promise<boolean> {
   const voters = group.filter((one) => one.isVoter);
   const needed = Math.floor(voters.length / 2) + 1;
   return new Promise((resolve) => {
@@ -27,7 +28,7 @@
     for (const { identity } of voters) {
       if (identity.name === self) close(true);
       else
-        wire.ask(identity.address, consensusCalls.identify, { shard: 'setup' }, waitMs).then(
+        transport.ask(identity.address, consensusCalls.identify, { shard: 'setup' }, waitMs).then(
           () => close(true),
           () => close(false),
         );
--- a/programs/controller/src/roleLeaseGrantor.ts
+++ b/programs/controller/src/roles/roleLeaseGrantor.ts
@@ -1,5 +1,6 @@
-import type { Clock, NodeName } from '@pewterlanding/runtime';
-import type { Duty } from '@pewterlanding/agent';
+import type { NodeName } from '@pewterlanding/model';
+import type { Clock } from '@pewterlanding/runtime';
+import type { SingletonRole } from '@pewterlanding/agent';
 
 interface RoleLeaseGrantorOptions {
   readonly clock: Clock;
@@ -40,12 +41,12 @@
   }
 
   /** Whether a claimant may have the role now. A holder that began anew under its name acts on nothing from before. */
-  free(role: string, held: Duty | undefined, claimant: NodeName): boolean {
+  free(role: string, held: SingletonRole | undefined, claimant: NodeName): boolean {
     return held === undefined || held.holder === claimant || this.#releasedMs.has(role) || this.#lapsed(role);
   }
 
   /** Whether the role is to be offered: nobody may act under it, and nobody is about to take it over politely. */
-  vacant(role: string, held: Duty | undefined): boolean {
+  vacant(role: string, held: SingletonRole | undefined): boolean {
     if (held === undefined) return true;
     const releasedMs = this.#releasedMs.get(role);
     if (releasedMs !== undefined) return this.#options.clock.nowMs() - releasedMs > this.#options.handoverMs;
--- a/programs/controller/src/roleOffers.ts
+++ b/programs/controller/src/roles/roleOffers.ts
@@ -1,15 +1,16 @@
-import type { Duty } from '@pewterlanding/agent';
+import type { SingletonRole } from '@pewterlanding/agent';
 import { roleOrder } from '@pewterlanding/membership';
-import type { Card, Membership } from '@pewterlanding/membership';
-import type { Clock, Counters, NodeName, Wire } from '@pewterlanding/runtime';
+import type { NodeRecord, Membership } from '@pewterlanding/membership';
+import type { NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Transport } from '@pewterlanding/runtime';
 import { every } from '@pewterlanding/runtime';
-import { controllerCalls } from './controllerCalls.js';
+import { controllerCalls } from '../controllerCalls.js';
 import type { RoleLeaseGrantor } from './roleLeaseGrantor.js';
 
 interface RoleOffersOptions {
   readonly role: string;
   readonly membership: Membership;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly grantor: RoleLeaseGrantor;
@@ -17,7 +18,7 @@
   /** Whether this node leads the configuration shard now. */
   readonly leading: () => boolean;
   /** The holder as the configuration shard has it. */
-  readonly held: () => Duty | undefined;
+  readonly held: () => SingletonRole | undefined;
   /** Whether this leader had an answer from a controller lately; undefined where the shard does not tell. */
   readonly answers: (name: NodeName) => boolean | undefined;
 }
@@ -63,21 +64,23 @@
     return leading() && grantor.vacant(role, held());
   }
 
-  #candidates(): readonly Card[] {
+  #candidates(): readonly NodeRecord[] {
     const { membership, role, answers } = this.#options;
-    const cards = new Map(membership.live().flatMap((card) => (card.role === 'controller' ? [[card.name, card] as const] : [])));
-    const order = roleOrder(role, [...cards.keys()]);
+    const nodeRecords = new Map(
+      membership.live().flatMap((nodeRecord) => (nodeRecord.role === 'controller' ? [[nodeRecord.name, nodeRecord] as const] : [])),
+    );
+    const order = roleOrder(role, [...nodeRecords.keys()]);
     const later = order.filter((name) => answers(name) === false);
     const sooner = order.filter((name) => answers(name) !== false);
-    return [...sooner, ...later].flatMap((name) => cards.get(name) ?? []);
+    return [...sooner, ...later].flatMap((name) => nodeRecords.get(name) ?? []);
   }
 
-  async #offer(candidate: Card): Promise<boolean> {
-    const { wire, counters, role, held, failureTimeoutMs } = this.#options;
-    const term = (held()?.epoch ?? 0) + 1;
-    const offer = wire.ask(candidate.address, controllerCalls.offerRole, { role, epoch: term }, failureTimeoutMs * offerRatio);
+  async #offer(candidate: NodeRecord): Promise<boolean> {
+    const { transport, counters, role, held, failureTimeoutMs } = this.#options;
+    const term = (held()?.term ?? 0) + 1;
+    const offer = transport.ask(candidate.address, controllerCalls.offerRole, { role, term: term }, failureTimeoutMs * offerRatio);
     const taken = await offer.then(
-      (back) => back.taken,
+      (response) => response.taken,
       () => false,
     );
     counters.add(taken ? 'controller.rolesGranted' : 'controller.candidatesPassedOver');
--- a/programs/controller/src/startController.ts
+++ b/programs/controller/src/startController.ts
@@ -1,23 +1,25 @@
-import { newsKeys } from '@pewterlanding/agent';
+import { updateKeys } from '@pewterlanding/agent';
 import { startMembership } from '@pewterlanding/membership';
 import type { Membership } from '@pewterlanding/membership';
-import { addressParts, Counters, endOn, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpWire } from '@pewterlanding/runtime';
-import type { Address, Boot, Clock, Running, Wire } from '@pewterlanding/runtime';
+import { addressParts } from '@pewterlanding/model';
+import { Counters, exitOnFatalError, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { BootSettings, Clock, Running, Transport } from '@pewterlanding/runtime';
 import type { FastifyInstance } from 'fastify';
-import { AuditSigner } from './auditSigner.js';
+import { AuditSigner } from './audit/auditSigner.js';
 import { Controller } from './controller.js';
 import type { ControllerOptions } from './controllerOptions.js';
 
 interface StartControllerOptions extends Pick<ControllerOptions, 'copies' | 'replicaHeartbeatMs'> {
-  readonly boot: Boot;
+  readonly bootSettings: BootSettings;
   readonly http: Address;
   readonly dataFolder: string;
   /** What operators reach at `http`. */
   readonly serve: (parts: {
-    readonly boot: Boot;
+    readonly bootSettings: BootSettings;
     readonly controller: Controller;
     readonly membership: Membership;
-    readonly wire: Wire;
+    readonly transport: Transport;
     readonly clock: Clock;
     readonly counters: Counters;
     readonly timeline: StartupTimeline;
@@ -25,51 +27,57 @@
 }
 
 /** A controller machine put together and listening. */
-export async function startController({ boot, http, dataFolder, serve, ...ground }: StartControllerOptions): Promise<Running> {
+export async function startController({ bootSettings, http, dataFolder, serve, ...ground }: StartControllerOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
-  const log = nodeLog(`${boot.name}/controller`, boot.logLevel);
+  const log = nodeLog(`${bootSettings.name}/controller`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const wire = new TcpWire({ here: boot.advertise ?? boot.listen, listen: boot.listen, fleet: boot.fleet, clock, counters });
-  const membership = startMembership({ ...boot, http }, 'controller', { clock, wire, counters, log });
-  const bounds = { failureTimeoutMs: boot.failureTimeoutMs, compactBytes: 16 << 20 };
+  const transport = new TcpTransport({
+    here: bootSettings.advertise ?? bootSettings.listen,
+    listen: bootSettings.listen,
+    fleet: bootSettings.fleet,
+    clock,
+    counters,
+  });
+  const membership = startMembership({ ...bootSettings, http }, 'controller', { clock, transport, counters, log });
+  const bounds = { failureTimeoutMs: bootSettings.failureTimeoutMs, compactBytes: 16 << 20 };
   const disk = new NodeDisk(dataFolder);
-  const signer = await AuditSigner.open(disk, boot.name);
+  const signer = await AuditSigner.open(disk, bootSettings.name);
   const controller = new Controller({
     ...ground,
-    ...(boot.bootstrap === undefined ? {} : { bootstrap: boot.bootstrap }),
+    ...(bootSettings.bootstrap === undefined ? {} : { bootstrap: bootSettings.bootstrap }),
     membership,
     clock,
-    wire,
+    transport,
     disk,
     signer,
     bounds,
-    heartbeatMs: boot.heartbeatMs,
-    seeds: boot.seeds,
+    heartbeatMs: bootSettings.heartbeatMs,
+    seeds: bootSettings.seeds,
     counters,
     log,
-    fatal: endOn(log),
+    fatal: exitOnFatalError(log),
   });
-  await wire.listen();
-  const app = serve({ boot, controller, membership, wire, clock, counters, timeline });
+  await transport.listen();
+  const app = serve({ bootSettings, controller, membership, transport, clock, counters, timeline });
   const { host, port } = addressParts(http);
   await app.listen({ host, port });
   log.info(`operators at ${http}`);
   timeline.reach('listening');
   timeline.await('first peer heard', () => membership.live().length > 1);
   timeline.await('shard leader known', () => controller.member?.leaderAddress !== undefined);
-  timeline.await('configuration held', () => controller.setup !== undefined);
-  timeline.await('replicas known', () => !membership.board.withPrefix(newsKeys.replicas).next().done);
-  membership.onNews(() => timeline.look());
+  timeline.await('configuration held', () => controller.configuration !== undefined);
+  timeline.await('replicas known', () => !membership.stateTable.withPrefix(updateKeys.replicas).next().done);
+  membership.onUpdate(() => timeline.look());
   // Founding waits for the other controller machines; the process serves meanwhile.
-  controller.start().catch(endOn(log));
+  controller.start().catch(exitOnFatalError(log));
   return {
     leave: async () => {
       await controller.leave();
       await pause(clock, 50);
       await app.close();
-      wire.close();
+      transport.close();
     },
   };
 }
--- a/programs/controller/test/audit.test.ts
+++ b/programs/controller/test/audit.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl';
 import * as v from 'valibot';
 import type { Disk } from '@pewterlanding/runtime';
-import { NodeName, PlanId } from '@pewterlanding/runtime';
+import { NodeName, PlanId } from '@pewterlanding/model';
 import { auditHash, AuditSigner, verifyAudit } from '../src/index.js';
 import type { AuditTrail } from '../src/index.js';
 
--- a/programs/controller/test/setupGrowth.test.ts
+++ b/programs/controller/test/configurationGrowth.test.ts
@@ -3,9 +3,9 @@
 import { expect } from 'earl';
 import * as v from 'valibot';
 import type { Disk } from '@pewterlanding/runtime';
-import { NodeName, PlanId } from '@pewterlanding/runtime';
-import { AuditSigner, nextEntry, SetupShard, verifyAudit } from '../src/index.js';
-import type { AuditLine, ChangeOutcome, SetupChange } from '../src/index.js';
+import { NodeName, PlanId } from '@pewterlanding/model';
+import { AuditSigner, nextEntry, ConfigurationShard, verifyAudit } from '../src/index.js';
+import type { AuditLine, ChangeOutcome, ConfigurationChange } from '../src/index.js';
 
 type Items = Record<string, unknown>;
 
@@ -20,45 +20,45 @@
 /** Changes between two restarts. */
 const restartEvery = 80 + Number(process.env['PROPERTY_SEED'] ?? 10);
 
-const service: Items = { kind: 'whole', repeatable: true, replicas: { maxSlots: 64 } };
+const service: Items = { kind: 'whole', idempotent: true, replicas: { maxSlots: 64 } };
 const route = (turn: number): Items => ({
   host: 'one.example',
   prefix: `/one-${turn % 7}/`,
   kind: 'whole',
-  services: [{ service: 'a', gain: 1 }],
+  services: [{ service: 'a', weight: 1 }],
 });
-const change = (turn: number, hash = `content of ${turn}`): SetupChange => ({
+const change = (turn: number, hash = `content of ${turn}`): ConfigurationChange => ({
   basedOn: turn - 1,
-  mark: turn,
+  revision: turn,
   hash,
   change:
     turn === 1
-      ? { t: 'whole', setup: { joining: true, services: { a: service }, routes: { one: route(1) } } }
-      : { t: 'items', routes: { one: route(turn) }, services: {}, drop: { routes: [], services: [] } },
+      ? { kind: 'whole', configuration: { joining: true, services: { a: service }, routes: { one: route(1) } } }
+      : { kind: 'items', routes: { one: route(turn) }, services: {}, drop: { routes: [], services: [] } },
 });
 
-function set(shard: SetupShard, put: SetupChange): ChangeOutcome['outcome'] | undefined {
-  return shard.apply(shard.read(structuredClone({ t: 'set', change: put, atMs: put.mark }))).change?.outcome;
+function set(shard: ConfigurationShard, put: ConfigurationChange): ChangeOutcome['outcome'] | undefined {
+  return shard.apply(shard.read(structuredClone({ kind: 'set', change: put, atMs: put.revision }))).change?.outcome;
 }
 
 /** So many changes, each signed, as a leader has them; the shard begins anew from its snapshot now and then. */
-async function changed(turns: number, lines: AuditLine[] = []): Promise<SetupShard> {
+async function changed(turns: number, lines: AuditLine[] = []): Promise<ConfigurationShard> {
   const signer = await AuditSigner.open(noDisk, v.parse(NodeName, 'core-1'));
-  let shard = new SetupShard((line) => lines.push(line));
+  let shard = new ConfigurationShard((line) => lines.push(line));
   for (let turn = 1; turn <= turns; turn += 1) {
     expect(set(shard, change(turn))).toEqual('taken');
     const command = await nextEntry(signer, shard);
     if (command === undefined) throw new Error('nothing to sign');
     shard.apply(shard.read(command));
     if (turn % restartEvery !== 0) continue;
-    const next = new SetupShard((line) => lines.push(line));
+    const next = new ConfigurationShard((line) => lines.push(line));
     next.restore(structuredClone(shard.snapshot()));
     shard = next;
   }
   return shard;
 }
 
-const bytesOf = (shard: SetupShard): number => new Encoder({ useRecords: false }).encode(shard.snapshot()).length;
+const bytesOf = (shard: ConfigurationShard): number => new Encoder({ useRecords: false }).encode(shard.snapshot()).length;
 
 describe('the setup shard after many changes', () => {
   it('knows each change of the day again, and its number under other content as a conflict', async () => {
@@ -70,11 +70,11 @@
     expect(set(shard, { ...change(7, 'other content'), basedOn: 1000 })).toEqual('invalid');
     // Also where a planned setup without a number came between.
     const planned = v.parse(PlanId, 'planned');
-    const { mark: _mark, ...next } = shard.setup ?? {};
+    const { revision: _mark, ...next } = shard.configuration ?? {};
     const plan = { id: planned, base: 1000, madeMs: 0, differences: [], effects: [], next };
-    shard.apply(shard.read(structuredClone({ t: 'plan', plan })));
-    shard.apply(shard.read({ t: 'confirm', plan: planned, acknowledged: true, atMs: 1 }));
-    expect([shard.setup?.mark, shard.version]).toEqual([0, 1001]);
+    shard.apply(shard.read(structuredClone({ kind: 'plan', plan })));
+    shard.apply(shard.read({ kind: 'confirm', plan: planned, acknowledged: true, atMs: 1 }));
+    expect([shard.configuration?.revision, shard.version]).toEqual([0, 1001]);
     expect(set(shard, { ...change(1000, 'other content'), basedOn: 0 })).toEqual('conflict');
     expect(set(shard, change(1000))).toEqual('taken');
     expect(shard.version).toEqual(1001);
--- a/programs/pewterctl/src/commands.ts
+++ b/programs/pewterctl/src/commands.ts
@@ -2,7 +2,7 @@
 import { text } from 'node:stream/consumers';
 import * as v from 'valibot';
 import { AuditTrail, verifyAudit } from '@pewterlanding/controller';
-import { check } from '@pewterlanding/runtime';
+import { check } from '@pewterlanding/model';
 import { exitCode } from './exitCode.js';
 import type { ControllerClient } from './controllerClient.js';
 import { show } from './show.js';
@@ -21,7 +21,7 @@
   readonly acknowledge: boolean;
 }
 
-type Command = (given: Given) => Promise<Told>;
+type Command = (granted: Given) => Promise<Told>;
 
 const Fields = v.record(v.string(), v.unknown());
 
@@ -43,24 +43,29 @@
   confirm: async ({ controller, words, acknowledge }) => {
     const [plan] = words;
     if (plan === undefined) return usage('confirm PLAN');
-    const back = await controller.ask('POST', `/v1/plans/${encodeURIComponent(plan)}/confirm`, { acknowledged: acknowledge });
-    const outcome = check(views.outcome, back.body);
-    if (!outcome.ok) return failed(back);
+    const response = await controller.ask('POST', `/v1/plans/${encodeURIComponent(plan)}/confirm`, { acknowledged: acknowledge });
+    const outcome = check(views.outcome, response.body);
+    if (!outcome.ok) return failed(response);
     const codes: Readonly<Record<number, number>> = {
       200: exitCode.done,
       409: exitCode.conflict,
       428: exitCode.needsAcknowledgement,
       504: exitCode.notInForce,
     };
-    const line = `${outcome.value.outcome}, version ${outcome.value.version}${back.status === 200 ? ', in force at every front' : ''}`;
+    const line = `${outcome.value.outcome}, version ${outcome.value.version}${response.status === 200 ? ', in force at every front' : ''}`;
     return {
-      code: codes[back.status] ?? exitCode.failed,
+      code: codes[response.status] ?? exitCode.failed,
       text: outcome.value.error === undefined ? line : `${outcome.value.error}\n${line}`,
-      json: back.body,
+      json: response.body,
     };
   },
   setup: async ({ controller }) =>
-    read(controller, '/v1/setup', views.setup, ({ version, setup }) => `version ${version}\n${JSON.stringify(setup, null, 2)}`),
+    read(
+      controller,
+      '/v1/setup',
+      views.setup,
+      ({ version, setup: configuration }) => `version ${version}\n${JSON.stringify(configuration, null, 2)}`,
+    ),
   history: async ({ controller }) => read(controller, '/v1/setup/history', views.history, show.history),
   showplan: async ({ controller, words }) =>
     words[0] === undefined ? usage('showplan PLAN') : read(controller, `/v1/plans/${encodeURIComponent(words[0])}`, views.plan, show.plan),
@@ -71,9 +76,9 @@
   lots: async ({ controller }) => read(controller, '/v1/lots', views.lots, show.lots),
   /** Checks the trail of confirmed setups; with a file of keys kept elsewhere, by those alone. */
   audit: async ({ controller, words }) => {
-    const back = await controller.ask('GET', '/v1/audit');
-    const trail = check(AuditTrail, back.body);
-    if (back.status !== 200 || !trail.ok) return failed(back);
+    const response = await controller.ask('GET', '/v1/audit');
+    const trail = check(AuditTrail, response.body);
+    if (response.status !== 200 || !trail.ok) return failed(response);
     const kept =
       words[0] === undefined ? undefined : check(v.object({ keys: AuditTrail.entries.keys }), JSON.parse(await readFile(words[0], 'utf8')));
     if (kept !== undefined && !kept.ok) return usage('audit [KEYS-FILE], a JSON object with "keys"');
@@ -90,7 +95,7 @@
     return read(controller, '/v1/shards', views.shards, ({ shards }) => {
       const left = (store: string): string[] =>
         shards
-          .filter(({ view }) => view === undefined || view.group.some((seat) => seat.identity.name === store))
+          .filter(({ view }) => view === undefined || view.group.some((member) => member.identity.name === store))
           .map(({ shard }) => shard);
       const rows = leaving.map((store) => {
         const kept = left(store).filter((part) => part.startsWith('lots-'));
@@ -107,8 +112,8 @@
   return { code: exitCode.usage, text: `usage: will ${text}`, json: { error: `usage: will ${text}` } };
 }
 
-function failed(back: { readonly status: number; readonly body: unknown }): Told {
-  const read = check(views.error, back.body);
+function failed(response: { readonly status: number; readonly body: unknown }): Told {
+  const read = check(views.error, response.body);
   const codes: Readonly<Record<number, number>> = {
     400: exitCode.findings,
     422: exitCode.findings,
@@ -117,14 +122,14 @@
   };
   const lines = read.ok
     ? [read.value.error, ...read.value.findings.map((finding) => `${finding.place === '' ? '(whole)' : finding.place}: ${finding.message}`)]
-    : [`status ${back.status}`];
-  return { code: codes[back.status] ?? exitCode.failed, text: lines.join('\n'), json: back.body };
+    : [`status ${response.status}`];
+  return { code: codes[response.status] ?? exitCode.failed, text: lines.join('\n'), json: response.body };
 }
 
 async function propose(controller: ControllerClient, proposal: unknown): Promise<Told> {
-  const back = await controller.ask('POST', '/v1/plans', proposal);
-  const plan = check(views.plan, back.body);
-  return back.status === 201 && plan.ok ? { code: exitCode.done, text: show.plan(plan.value), json: back.body } : failed(back);
+  const response = await controller.ask('POST', '/v1/plans', proposal);
+  const plan = check(views.plan, response.body);
+  return response.status === 201 && plan.ok ? { code: exitCode.done, text: show.plan(plan.value), json: response.body } : failed(response);
 }
 
 async function read<T>(
@@ -133,20 +138,20 @@
   schema: v.GenericSchema<unknown, T>,
   face: (view: T) => string,
 ): Promise<Told> {
-  const back = await controller.ask('GET', path);
-  if (back.status !== 200) return failed(back);
-  const view = check(schema, back.body);
+  const response = await controller.ask('GET', path);
+  if (response.status !== 200) return failed(response);
+  const view = check(schema, response.body);
   if (!view.ok)
     return {
       code: exitCode.failed,
       text: view.findings.map((finding) => `${finding.place}: ${finding.message}`).join('\n'),
-      json: back.body,
+      json: response.body,
     };
-  return { code: exitCode.done, text: face(view.value), json: back.body };
+  return { code: exitCode.done, text: face(view.value), json: response.body };
 }
 
 async function emptying(controller: ControllerClient): Promise<readonly string[]> {
-  const back = check(views.setup, (await controller.ask('GET', '/v1/setup')).body);
-  const list = back.ok ? check(v.array(v.string()), back.value.setup?.['emptying'] ?? []) : back;
+  const response = check(views.setup, (await controller.ask('GET', '/v1/setup')).body);
+  const list = response.ok ? check(v.array(v.string()), response.value.setup?.['emptying'] ?? []) : response;
   return list.ok ? list.value : [];
 }
--- a/programs/pewterctl/src/controllerClient.ts
+++ b/programs/pewterctl/src/controllerClient.ts
@@ -1,5 +1,5 @@
 import { request } from 'undici';
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 
 interface ControllerReturn {
   readonly status: number;
@@ -20,20 +20,20 @@
     let last: unknown;
     for (const controller of this.#controllers) {
       try {
-        const back = await request(`http://${controller}${path}`, {
+        const response = await request(`http://${controller}${path}`, {
           method,
           ...(body === undefined ? {} : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) }),
           headersTimeout: this.#waitMs,
           bodyTimeout: this.#waitMs,
         });
-        const text = await back.body.text();
+        const text = await response.body.text();
         const read: unknown = text === '' ? undefined : JSON.parse(text);
         // A controller machine without the leader's ear is no return; another may have it.
-        if (back.statusCode === 503) {
+        if (response.statusCode === 503) {
           last = new Error(`${controller}: ${text}`);
           continue;
         }
-        return { status: back.statusCode, body: read };
+        return { status: response.statusCode, body: read };
       } catch (error) {
         last = error;
       }
--- a/programs/pewterctl/src/main.ts
+++ b/programs/pewterctl/src/main.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
 import meow from 'meow';
 import * as v from 'valibot';
-import { Address, check, errorLine } from '@pewterlanding/runtime';
+import { Address, check } from '@pewterlanding/model';
+import { errorLine } from '@pewterlanding/runtime';
 import { commands } from './commands.js';
 import { exitCode } from './exitCode.js';
 import { ControllerClient } from './controllerClient.js';
--- a/programs/pewterctl/src/show.ts
+++ b/programs/pewterctl/src/show.ts
@@ -36,42 +36,42 @@
         shard,
         view?.term ?? 'silent',
         view?.leader,
-        view?.group.map((seat) => `${seat.identity.name}${seat.isVoter ? '' : '(following)'}`).join(' '),
+        view?.group.map((member) => `${member.identity.name}${member.isVoter ? '' : '(following)'}`).join(' '),
         view?.behind.map((one) => `${one.name}:${one.behind}`).join(' '),
         wanted?.map((place) => place.name).join(' '),
       ]),
     ),
-  duties: ({ duties }: View<'duties'>): string =>
+  duties: ({ duties: singletonRoles }: View<'duties'>): string =>
     table(
       ['duty', 'holder', 'address', 'epoch'],
-      Object.entries(duties).map(([duty, held]) => [duty, held.holder, held.address, held.epoch]),
+      Object.entries(singletonRoles).map(([singletonRole, held]) => [singletonRole, held.holder, held.address, held.term]),
     ),
-  branches: ({ branches, waiting, epoch }: View<'branches'>): string =>
-    `counter under epoch ${epoch}\n${table(
+  branches: ({ quotas, waiting, term }: View<'branches'>): string =>
+    `counter under epoch ${term}\n${table(
       ['branch', 'share', 'used req', 'used tok', 'lent tok', 'borrowed tok', 'held tok', 'waiting'],
-      branches.map((one) => [
-        one.branch,
+      quotas.map((one) => [
+        one.quota,
         one.share.toFixed(3),
         one.used.requests,
         one.used.tokens,
         one.lent.tokens,
         one.borrowed.tokens,
         one.held.tokens,
-        waiting[one.branch] ?? 0,
+        waiting[one.quota] ?? 0,
       ]),
     )}`,
-  lots: ({ lots }: View<'lots'>): string =>
+  lots: ({ lots: batches }: View<'lots'>): string =>
     table(
       ['lot', 'branch', 'service', 'handed in', 'items', 'states'],
-      lots.map((lot) => [
-        lot.id,
-        lot.branch,
-        lot.service,
-        new Date(lot.createdMs).toISOString(),
-        lot.items,
-        Object.entries(lot.counts)
+      batches.map((batch) => [
+        batch.id,
+        batch.quota,
+        batch.service,
+        new Date(batch.createdMs).toISOString(),
+        batch.items,
+        Object.entries(batch.counts)
           .map(([state, items]) => `${state}:${items}`)
-          .join(' ') + (lot.ended ? ' (ended)' : ''),
+          .join(' ') + (batch.ended ? ' (ended)' : ''),
       ]),
     ),
   history: ({ history }: View<'history'>): string =>
--- a/programs/pewterctl/src/views.ts
+++ b/programs/pewterctl/src/views.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
 import { ShardView } from '@pewterlanding/consensus';
-import { Duty } from '@pewterlanding/agent';
-import { Card } from '@pewterlanding/membership';
+import { SingletonRole } from '@pewterlanding/agent';
+import { NodeRecord } from '@pewterlanding/membership';
 import { Confirmation, Difference, Effect, PlanOutcome } from '@pewterlanding/controller';
-import { BranchView } from '@pewterlanding/rate-limit';
-import { LotView } from '@pewterlanding/store';
+import { QuotaView } from '@pewterlanding/rate-limit';
+import { BatchView } from '@pewterlanding/store';
 
 const Wanted = v.array(v.object({ name: v.string(), address: v.string() }));
 
@@ -21,9 +21,9 @@
   error: v.object({ error: v.string(), findings: v.optional(v.array(v.object({ place: v.string(), message: v.string() })), []) }),
   setup: v.object({ version: v.number(), setup: v.nullable(v.record(v.string(), v.unknown())) }),
   history: v.object({ history: v.array(Confirmation) }),
-  nodes: v.object({ nodes: v.array(v.object({ ...Card.entries, version: v.optional(v.number()) })) }),
+  nodes: v.object({ nodes: v.array(v.object({ ...NodeRecord.entries, version: v.optional(v.number()) })) }),
   shards: v.object({ shards: v.array(v.object({ shard: v.string(), wanted: v.optional(Wanted), view: v.optional(ShardView) })) }),
-  duties: v.object({ duties: v.record(v.string(), Duty) }),
-  branches: v.object({ epoch: v.number(), branches: v.array(BranchView), waiting: v.record(v.string(), v.number()) }),
-  lots: v.object({ lots: v.array(LotView) }),
+  duties: v.object({ duties: v.record(v.string(), SingletonRole) }),
+  branches: v.object({ term: v.number(), quotas: v.array(QuotaView), waiting: v.record(v.string(), v.number()) }),
+  lots: v.object({ lots: v.array(BatchView) }),
 };
--- a/programs/proxy/src/lotBody.ts
+++ b/programs/proxy/src/batch-api/batchBody.ts
@@ -1,9 +1,9 @@
 import * as v from 'valibot';
-import { ItemId, ServiceName } from '@pewterlanding/runtime';
+import { ItemId, ServiceName } from '@pewterlanding/model';
 
 /** What a caller hands in. */
-export const LotBody = v.strictObject({
+export const BatchBody = v.strictObject({
   service: ServiceName,
   items: v.array(v.strictObject({ id: ItemId, input: v.unknown() })),
 });
-export type LotBody = v.InferOutput<typeof LotBody>;
+export type BatchBody = v.InferOutput<typeof BatchBody>;
--- a/programs/proxy/src/lotRunner.ts
+++ b/programs/proxy/src/batch-runner/batchRunner.ts
@@ -1,38 +1,39 @@
 import { setMaxListeners } from 'node:events';
 import type { LeaderFinder } from '@pewterlanding/consensus';
 import type { LeaseOffer, Settlement } from '@pewterlanding/agent';
-import { check, TaskId } from '@pewterlanding/runtime';
-import type { Clock, Counters, NodeName, Service, Setup } from '@pewterlanding/runtime';
+import { check, TaskId } from '@pewterlanding/model';
+import type { NodeName, Service, Configuration } from '@pewterlanding/model';
+import type { Clock, Counters } from '@pewterlanding/runtime';
 import { leaseKey } from '@pewterlanding/store';
-import type { Choice } from './choice.js';
-import type { HeaderWords } from './headerWords.js';
+import type { ReplicaSelector } from '../selection/replicaSelector.js';
+import type { HeaderNames } from '../forwarding/headerNames.js';
 import { ItemRunner } from './itemRunner.js';
-import type { ItemWire } from './itemWire.js';
+import type { ItemTransport } from './itemTransport.js';
 import { LeaseCalls } from './leaseCalls.js';
-import type { NewsDesk } from './newsDesk.js';
-import type { ReplicaWire } from './replicaWire.js';
-import type { Room } from './room.js';
-import type { RunEnd } from './runEnd.js';
+import type { RoutingState } from '../updates/routingState.js';
+import type { ReplicaTransport } from '../forwarding/replicaTransport.js';
+import type { SlotPool } from '../selection/slotPool.js';
+import type { RunEnd } from '../forwarding/runEnd.js';
 
-interface LotRunnerOptions {
+interface BatchRunnerOptions {
   readonly front: NodeName;
-  readonly life: string;
+  readonly instance: string;
   readonly clock: Clock;
-  readonly desk: NewsDesk;
-  readonly room: Room;
-  readonly choice: Choice;
+  readonly routingState: RoutingState;
+  readonly slotPool: SlotPool;
+  readonly selector: ReplicaSelector;
   readonly finder: LeaderFinder;
-  readonly replicas: ReplicaWire;
-  readonly items: ItemWire;
-  readonly words: HeaderWords;
+  readonly replicas: ReplicaTransport;
+  readonly items: ItemTransport;
+  readonly headerNames: HeaderNames;
   readonly random: () => number;
   readonly settle: (settled: Settlement) => void;
   readonly counters: Counters;
 }
 
 /** Runs leased items: room, start at the shard's leader, try, close. Nothing is sent without a committed start. */
-export class LotRunner {
-  readonly #options: LotRunnerOptions;
+export class BatchRunner {
+  readonly #options: BatchRunnerOptions;
   /** Leases held here, by item and lease. */
   readonly #known = new Map<string, string>();
   readonly #abort = new AbortController();
@@ -40,13 +41,13 @@
   readonly #calls: LeaseCalls;
   readonly #items: ItemRunner;
 
-  constructor(options: LotRunnerOptions) {
+  constructor(options: BatchRunnerOptions) {
     this.#options = options;
     this.#calls = new LeaseCalls(options);
     const signals = { leaving: this.#abort.signal, halting: this.#halt.signal };
     // Each item that runs listens to both.
     setMaxListeners(0, signals.leaving, signals.halting);
-    this.#items = new ItemRunner({ ...options, ...signals, wire: options.items, calls: this.#calls });
+    this.#items = new ItemRunner({ ...options, ...signals, transport: options.items, calls: this.#calls });
   }
 
   get running(): number {
@@ -62,7 +63,7 @@
   take(offers: readonly LeaseOffer[]): void {
     for (const offer of offers) {
       const lease = leaseKey(offer.lease);
-      const key = `${offer.ref.lot} ${offer.ref.place} ${lease}`;
+      const key = `${offer.ref.batch} ${offer.ref.position} ${lease}`;
       if (this.#known.has(key)) continue;
       this.#known.set(key, lease);
       void this.#run(offer)
@@ -87,34 +88,41 @@
   }
 
   async #runOwn(offer: LeaseOffer): Promise<void> {
-    const { desk, room, clock, counters } = this.#options;
-    const setup = desk.tables.setup;
-    const rule = setup?.services[offer.service];
-    if (setup === undefined || rule === undefined || !desk.fresh()) return this.#calls.giveBack(offer);
-    const given = await room.enter(offer.service, offer.branch, 'lot', setup.bounds.staleMs / 4, new Set(), this.#abort.signal);
+    const { routingState, slotPool, clock, counters } = this.#options;
+    const configuration = routingState.tables.configuration;
+    const rule = configuration?.services[offer.service];
+    if (configuration === undefined || rule === undefined || !routingState.fresh()) return this.#calls.giveBack(offer);
+    const granted = await slotPool.enter(
+      offer.service,
+      offer.quota,
+      'batch',
+      configuration.bounds.staleMs / 4,
+      new Set(),
+      this.#abort.signal,
+    );
     // Live traffic took the room: back it goes, and no try counts.
-    if (given.t !== 'room') return this.#calls.giveBack(offer);
+    if (granted.kind !== 'room') return this.#calls.giveBack(offer);
     try {
       const askedMs = clock.nowMs();
-      const started = await this.#calls.start(offer, setup.bounds.startWindowMs).catch(() => undefined);
+      const started = await this.#calls.start(offer, configuration.bounds.startWindowMs).catch(() => undefined);
       if (started?.done === false) {
         counters.add('lot.startRefused');
         return this.#settle(offer, rule, undefined);
       }
       // By the monotonic clock: what was frozen here in between must not send now.
-      if (started === undefined || clock.nowMs() - askedMs > setup.bounds.startWindowMs || !desk.fresh()) {
+      if (started === undefined || clock.nowMs() - askedMs > configuration.bounds.startWindowMs || !routingState.fresh()) {
         counters.add('lot.windowMissed');
         return await this.#calls.giveBack(offer);
       }
-      await this.#send(offer, setup, rule, given.address);
+      await this.#send(offer, configuration, rule, granted.address);
     } finally {
-      given.leave();
+      granted.leave();
     }
   }
 
-  async #send(offer: LeaseOffer, setup: Setup, rule: Service, address: Parameters<Room['hurt']>[0]): Promise<void> {
-    const { replicas, room, counters } = this.#options;
-    const id = check(TaskId, `${offer.ref.lot}.${offer.ref.place}.${leaseKey(offer.lease)}`);
+  async #send(offer: LeaseOffer, configuration: Configuration, rule: Service, address: Parameters<SlotPool['hurt']>[0]): Promise<void> {
+    const { replicas, slotPool, counters } = this.#options;
+    const id = check(TaskId, `${offer.ref.batch}.${offer.ref.position}.${leaseKey(offer.lease)}`);
     if (!id.ok) return this.#calls.giveBack(offer);
     const pieces: string[] = [];
     const end = await replicas.run(
@@ -122,16 +130,16 @@
       (data) => pieces.push(data),
       new AbortController().signal,
     );
-    counters.add(`lot.${end.t}`);
-    if (end.t === 'done') {
+    counters.add(`lot.${end.kind}`);
+    if (end.kind === 'done') {
       const output = rule.kind === 'whole' ? end.body : `[${pieces.join(',')}]`;
       await this.#calls.close(offer, 'COMPLETED', output);
       return this.#settle(offer, rule, end);
     }
-    room.hurt(address);
-    const notRun = end.t === 'unsent' || (end.t === 'status' && rule.notRun.includes(end.status));
+    slotPool.hurt(address);
+    const notRun = end.kind === 'unsent' || (end.kind === 'status' && rule.notRun.includes(end.status));
     if (notRun) return this.#calls.giveBack(offer);
-    if (rule.repeatable) await this.#calls.release(offer, { tried: true });
+    if (rule.idempotent) await this.#calls.release(offer, { tried: true });
     else await this.#calls.close(offer, 'FAILED', JSON.stringify({ error: 'outcome unknown: the replica may have run it' }));
     this.#settle(offer, rule, end);
   }
--- a/programs/proxy/src/itemAttempt.ts
+++ b/programs/proxy/src/batch-runner/itemAttempt.ts
@@ -1,4 +1,4 @@
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 
 /** One sending of an opaque item to one replica. */
 export interface ItemAttempt {
@@ -6,7 +6,7 @@
   readonly key: string;
   readonly address: Address;
   /** The life of the replica that is meant, where it has one. */
-  readonly life: string | undefined;
+  readonly instance: string | undefined;
   /** The id that the return must carry back. */
   readonly task: string;
   readonly method: 'POST';
--- a/programs/proxy/src/leaseCalls.ts
+++ b/programs/proxy/src/batch-runner/leaseCalls.ts
@@ -1,14 +1,15 @@
 import type { LeaderFinder } from '@pewterlanding/consensus';
 import type { LeaseOffer, Settlement } from '@pewterlanding/agent';
-import type { Counters, NodeName } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
+import type { Counters } from '@pewterlanding/runtime';
 import { storeCalls } from '@pewterlanding/store';
-import type { LotCommand, LotReturn } from '@pewterlanding/store';
-import type { NewsDesk } from './newsDesk.js';
+import type { BatchCommand, BatchReturn } from '@pewterlanding/store';
+import type { RoutingState } from '../updates/routingState.js';
 
 interface LeaseCallsOptions {
   readonly front: NodeName;
-  readonly life: string;
-  readonly desk: NewsDesk;
+  readonly instance: string;
+  readonly routingState: RoutingState;
   readonly finder: LeaderFinder;
   readonly settle: (settled: Settlement) => void;
   readonly counters: Counters;
@@ -26,8 +27,8 @@
     this.#options = options;
   }
 
-  start(offer: LeaseOffer, waitMs: number): Promise<LotReturn> {
-    return this.#change(offer, { t: 'start', ref: offer.ref, lease: offer.lease }, waitMs);
+  start(offer: LeaseOffer, waitMs: number): Promise<BatchReturn> {
+    return this.#change(offer, { kind: 'start', ref: offer.ref, lease: offer.lease }, waitMs);
   }
 
   /** The start of an opaque item, and what to send. */
@@ -46,30 +47,34 @@
     offer: LeaseOffer,
     how: { readonly tried: boolean; readonly failed?: boolean; readonly waitMs?: number | undefined },
   ): Promise<void> {
-    const bounds = this.#options.desk.tables.setup?.bounds;
-    const maxTries = bounds?.requeueTries ?? Number.MAX_SAFE_INTEGER;
+    const bounds = this.#options.routingState.tables.configuration?.bounds;
+    const maxAttempts = bounds?.requeueAttempts ?? Number.MAX_SAFE_INTEGER;
     const { ref, lease } = offer;
-    const command: LotCommand = { t: 'release', ref, lease, notBeforeMs: 0, maxTries, ...how };
+    const command: BatchCommand = { kind: 'release', ref, lease, notBeforeMs: 0, maxAttempts, ...how };
     await this.#change(offer, command, bounds?.staleMs ?? 1000).catch(() => undefined);
   }
 
   async close(offer: LeaseOffer, state: 'COMPLETED' | 'FAILED', result: string): Promise<void> {
-    const staleMs = this.#options.desk.tables.setup?.bounds.staleMs ?? 1000;
-    const back = await this.#change(offer, { t: 'close', ref: offer.ref, lease: offer.lease, state, result }, staleMs * closePatience);
+    const staleMs = this.#options.routingState.tables.configuration?.bounds.staleMs ?? 1000;
+    const response = await this.#change(
+      offer,
+      { kind: 'close', ref: offer.ref, lease: offer.lease, state, result },
+      staleMs * closePatience,
+    );
     // Another lease had the item meanwhile: this result is late and nobody may see it.
-    if (!back.done) this.#options.counters.add('lot.lateResult');
+    if (!response.done) this.#options.counters.add('lot.lateResult');
   }
 
   settle(offer: LeaseOffer, ran: boolean, tokens: number, outputTokens: number): void {
     this.#options.settle({ ref: offer.ref, lease: offer.lease, ran, tokens, service: offer.service, outputTokens });
   }
 
-  #change(offer: LeaseOffer, command: LotCommand, waitMs: number): Promise<LotReturn> {
+  #change(offer: LeaseOffer, command: BatchCommand, waitMs: number): Promise<BatchReturn> {
     return this.#options.finder.ask(offer.shard, storeCalls.change, { shard: offer.shard, id: this.#nextId(), command }, waitMs);
   }
 
   #nextId(): string {
     this.#count += 1;
-    return `${this.#options.front}/${this.#options.life}/${this.#count}`;
+    return `${this.#options.front}/${this.#options.instance}/${this.#count}`;
   }
 }
--- a/programs/proxy/src/pooledItemWire.ts
+++ b/programs/proxy/src/batch-runner/pooledItemTransport.ts
@@ -1,34 +1,34 @@
 import { createParser } from 'eventsource-parser';
 import type { Clock } from '@pewterlanding/runtime';
-import type { ConnectionPool } from './connectionPool.js';
-import { headerOf } from './headerOf.js';
-import type { HeaderWords } from './headerWords.js';
+import type { ConnectionPool } from '../connections/connectionPool.js';
+import { headerOf } from '../connections/headerOf.js';
+import type { HeaderNames } from '../forwarding/headerNames.js';
 import type { ItemAttempt } from './itemAttempt.js';
 import type { ItemEnd } from './itemEnd.js';
-import type { ItemWire } from './itemWire.js';
+import type { ItemTransport } from './itemTransport.js';
 
-interface PooledItemWireOptions {
+interface PooledItemTransportOptions {
   readonly clock: Clock;
   readonly connections: ConnectionPool;
-  readonly words: HeaderWords;
+  readonly headerNames: HeaderNames;
 }
 
 /** What is read of a return that is no stream, so that its connection may be used again. */
-const mostDumped = 65_536;
+const maxDumped = 65_536;
 
 /**
  * Opaque items over the connections that live tasks use. One whose return was wrong, or was given up, is destroyed and never used
  * again.
  */
-export class PooledItemWire implements ItemWire {
-  readonly #options: PooledItemWireOptions;
+export class PooledItemTransport implements ItemTransport {
+  readonly #options: PooledItemTransportOptions;
 
-  constructor(options: PooledItemWireOptions) {
+  constructor(options: PooledItemTransportOptions) {
     this.#options = options;
   }
 
   run(attempt: ItemAttempt, event: (id: string | undefined, data: string) => void, abort: AbortSignal): Promise<ItemEnd> {
-    if (abort.aborted) return Promise.resolve({ t: 'unsent' });
+    if (abort.aborted) return Promise.resolve({ kind: 'unsent' });
     const { clock, connections } = this.#options;
     const { key, address, task, method, path, body, expiryMs, failureTimeoutMs } = attempt;
     const parser = createParser({ onEvent: ({ id, data }) => event(id, data) });
@@ -52,7 +52,7 @@
         destroy();
         finish(end);
       };
-      const stop = (): void => breakOff(told ?? { t: 'broken', why: 'given up' });
+      const stop = (): void => breakOff(told ?? { kind: 'broken', reason: 'given up' });
       // One timer for both bounds: what was heard meanwhile only puts it off.
       const watch = (): void => {
         const leftMs = Math.min(begunMs + expiryMs, heardMs + failureTimeoutMs) - clock.nowMs();
@@ -67,10 +67,10 @@
         address,
         { id: task, method, path, headers, body: Buffer.from(body.buffer, body.byteOffset, body.byteLength) },
         {
-          head: (status, _reason, back) => {
+          head: (status, _reason, response) => {
             heardMs = clock.nowMs();
-            const judged = this.#judge(status, back);
-            if (judged?.t === 'broken') breakOff(judged);
+            const judged = this.#judge(status, response);
+            if (judged?.kind === 'broken') breakOff(judged);
             else told = judged;
           },
           data: (chunk) => {
@@ -78,21 +78,21 @@
             if (over) return;
             if (told !== undefined) {
               dumped += chunk.length;
-              if (dumped > mostDumped) breakOff(told);
+              if (dumped > maxDumped) breakOff(told);
               return;
             }
             try {
               parser.feed(decoder.decode(chunk, { stream: true }));
             } catch {
-              breakOff({ t: 'broken', why: 'the return is no text' });
+              breakOff({ kind: 'broken', reason: 'the return is no text' });
             }
           },
-          end: () => finish(told ?? { t: 'done' }),
+          end: () => finish(told ?? { kind: 'done' }),
           failed: (_error, how) => {
             if (told !== undefined) return finish(told);
             // What cannot be sent anywhere says nothing of the replica.
-            if (how === 'unfit') return finish({ t: 'status', status: 400 });
-            finish(how === 'unsent' ? { t: 'unsent' } : { t: 'broken', why: 'the replica broke off' });
+            if (how === 'unfit') return finish({ kind: 'status', status: 400 });
+            finish(how === 'unsent' ? { kind: 'unsent' } : { kind: 'broken', reason: 'the replica broke off' });
           },
         },
       );
@@ -102,14 +102,14 @@
 
   /** Undefined for a success, whose end is not known before its last byte. */
   #judge(status: number, headers: readonly string[]): ItemEnd | undefined {
-    const { seal, notRun } = this.#options.words;
+    const { seal, notRun } = this.#options.headerNames;
     if (status < 200 || status > 299)
-      return status >= 400 && headerOf(headers, notRun) !== undefined ? { t: 'notRun', status } : { t: 'status', status };
+      return status >= 400 && headerOf(headers, notRun) !== undefined ? { kind: 'notRun', status } : { kind: 'status', status };
     if (headerOf(headers, seal) === undefined || headerOf(headers, 'content-encoding') !== undefined)
-      return { t: 'broken', why: 'a success without its seal' };
+      return { kind: 'broken', reason: 'a success without its seal' };
     // Without a length or chunks nobody can tell a whole return from a cut one.
     if (headerOf(headers, 'content-length') === undefined && headerOf(headers, 'transfer-encoding') === undefined)
-      return { t: 'broken', why: 'the return has no end mark' };
+      return { kind: 'broken', reason: 'the return has no end mark' };
     return undefined;
   }
 }
--- a/programs/proxy/src/startGate.ts
+++ b/programs/proxy/src/batch-runner/startGate.ts
@@ -9,7 +9,7 @@
 }
 
 /** More than these are refused at once: each holds its body in memory. */
-const mostHeld = 1024;
+const maxHeld = 1024;
 
 /**
  * A front that has just started knows neither setup nor replicas for a moment. Tasks that come meanwhile are held shortly:
@@ -32,8 +32,8 @@
   /** Resolves once the front knows enough, or after `waitMs`. */
   pass(waitMs: number, abort: AbortSignal): Promise<void> {
     const { clock, ready } = this.#options;
-    const mostMs = Math.min(waitMs, this.#untilMs - clock.nowMs());
-    if (mostMs <= 0 || abort.aborted || this.#held.size >= mostHeld || ready()) return Promise.resolve();
+    const maxMs = Math.min(waitMs, this.#untilMs - clock.nowMs());
+    if (maxMs <= 0 || abort.aborted || this.#held.size >= maxHeld || ready()) return Promise.resolve();
     return new Promise((resolve) => {
       const go = (): void => {
         cancel();
@@ -41,7 +41,7 @@
         this.#held.delete(go);
         resolve();
       };
-      const cancel = clock.after(mostMs, go);
+      const cancel = clock.after(maxMs, go);
       abort.addEventListener('abort', go);
       this.#held.add(go);
     });
--- a/programs/proxy/src/clientConnection.ts
+++ b/programs/proxy/src/connections/clientConnection.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
-interface Exchange {
+interface RequestTracker {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly abort: AbortController;
@@ -16,7 +16,7 @@
 export class ClientConnection {
   readonly #socket: Socket;
   /** In the order of their requests. */
-  readonly #open: Exchange[] = [];
+  readonly #open: RequestTracker[] = [];
 
   constructor(socket: Socket) {
     this.#socket = socket;
@@ -36,8 +36,8 @@
   }
 
   /** The signal fires once the client can have no response any more. */
-  open(request: IncomingMessage, response: ServerResponse): Exchange {
-    const exchange: Exchange = { request, response, abort: new AbortController() };
+  open(request: IncomingMessage, response: ServerResponse): RequestTracker {
+    const exchange: RequestTracker = { request, response, abort: new AbortController() };
     this.#open.push(exchange);
     response.on('close', () => {
       if (!response.writableFinished) exchange.abort.abort();
@@ -49,7 +49,7 @@
   }
 
   /** True once it is its turn; false when the connection was closed before. */
-  async turn(exchange: Exchange): Promise<boolean> {
+  async turn(exchange: RequestTracker): Promise<boolean> {
     if (this.#open[0] !== exchange && !exchange.abort.signal.aborted) await new Promise<void>((resolve) => (exchange.begin = resolve));
     return !exchange.abort.signal.aborted && !this.#socket.destroyed && !this.#socket.writableEnded;
   }
--- a/programs/proxy/src/connectionPool.ts
+++ b/programs/proxy/src/connections/connectionPool.ts
@@ -1,6 +1,6 @@
 import { Client, errors } from 'undici';
 import type { buildConnector, Dispatcher } from 'undici';
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 import { headerOf } from './headerOf.js';
 
 interface ConnectionPoolOptions {
@@ -94,12 +94,12 @@
     let started = false;
     let over = false;
     let closing = false;
-    const destroy = (why: Error): void => {
+    const destroy = (reason: Error): void => {
       over = true;
       this.#busy.delete(client);
       // The controller's way fails the running task and destroys the socket under it; the client's serves those not yet connected.
-      control?.abort(why);
-      client.destroy(why).catch(() => undefined);
+      control?.abort(reason);
+      client.destroy(reason).catch(() => undefined);
     };
     const fail = (error: Error): void => {
       if (over) return;
--- a/programs/proxy/src/attemptEnd.ts
+++ b/programs/proxy/src/forwarding/attemptEnd.ts
@@ -9,15 +9,15 @@
 /** How a try of an opaque task ended. */
 export type AttemptEnd =
   /** Surely nothing was sent. */
-  | { readonly t: 'unsent' }
+  | { readonly kind: 'unsent' }
   /** Nothing was sent, and no replica could be sent it. */
-  | { readonly t: 'unfit' }
+  | { readonly kind: 'unfit' }
   /** The replica said that it did not run the task. */
-  | { readonly t: 'notRun'; readonly back: WholeReturn }
-  | { readonly t: 'whole'; readonly back: WholeReturn }
+  | { readonly kind: 'notRun'; readonly result: WholeReturn }
+  | { readonly kind: 'whole'; readonly result: WholeReturn }
   /** All events of a stream were passed on, and its end was whole. */
-  | { readonly t: 'streamed' }
+  | { readonly kind: 'streamed' }
   /** Sent, and its time ran out or its downstream left with no word from the replica in this try. */
-  | { readonly t: 'silent'; readonly why: string }
+  | { readonly kind: 'silent'; readonly reason: string }
   /** Sent, and no return that counts. */
-  | { readonly t: 'broken'; readonly why: string };
+  | { readonly kind: 'broken'; readonly reason: string };
--- a/programs/proxy/src/ownWords.ts
+++ b/programs/proxy/src/forwarding/defaultHeaderNames.ts
@@ -1,13 +1,13 @@
-import type { HeaderWords } from './headerWords.js';
+import type { HeaderNames } from './headerNames.js';
 
 /** The product's own names. */
-export const ownWords: HeaderWords = {
+export const defaultHeaderNames: HeaderNames = {
   task: 'task-id',
   expiryMs: 'expiry-ms',
   retryAfter: 'retry-after',
   seal: 'seal',
   notRun: 'not-run',
-  life: 'expect-life',
+  instance: 'expect-life',
   resumeAfter: 'last-event-id',
   model: 'model',
   tokens: 'tokens',
--- a/programs/proxy/src/endToEnd.ts
+++ b/programs/proxy/src/forwarding/endToEnd.ts
@@ -1,7 +1,7 @@
-import { headerOf } from './headerOf.js';
+import { headerOf } from '../connections/headerOf.js';
 
 /** Headers that concern one circuit only; a length is worked out anew, and an expectation was met by whoever read the body. */
-const ofCircuit = new Set([
+const ofConnection = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -24,7 +24,7 @@
     const [key, value] = [list[at], list[at + 1]];
     if (key === undefined || value === undefined) continue;
     const name = key.toLowerCase();
-    if (!ofCircuit.has(name) && !without.includes(name) && !(named.includes(name) && name !== 'host')) kept.push(key, value);
+    if (!ofConnection.has(name) && !without.includes(name) && !(named.includes(name) && name !== 'host')) kept.push(key, value);
   }
   return kept;
 }
--- a/programs/proxy/src/headerWords.ts
+++ b/programs/proxy/src/forwarding/headerNames.ts
@@ -1,5 +1,5 @@
 /** The names of the headers that opaque tasks and their returns carry; another ground may have others. */
-export interface HeaderWords {
+export interface HeaderNames {
   /** The task's id, on the task and back on the return. */
   readonly task: string;
   /** Milliseconds that the downstream, or this front, will wait. */
@@ -10,7 +10,7 @@
   /** On a refusal: the replica did not run the task. */
   readonly notRun: string;
   /** On a try: the life of the replica that is meant; any other answers 421 and does not run it. */
-  readonly life: string;
+  readonly instance: string;
   /** Continue a stream after the event with this id. */
   readonly resumeAfter: string;
   readonly model: string;
--- a/programs/proxy/src/httpReplicaWire.ts
+++ b/programs/proxy/src/forwarding/httpReplicaTransport.ts
@@ -1,21 +1,21 @@
 import type { Clock } from '@pewterlanding/runtime';
-import { ConnectionPool } from './connectionPool.js';
-import { headerOf } from './headerOf.js';
-import { ownWords } from './ownWords.js';
+import { ConnectionPool } from '../connections/connectionPool.js';
+import { headerOf } from '../connections/headerOf.js';
+import { defaultHeaderNames } from './defaultHeaderNames.js';
 import type { ReplicaTask } from './replicaTask.js';
-import type { ReplicaWire } from './replicaWire.js';
+import type { ReplicaTransport } from './replicaTransport.js';
 import type { RunEnd } from './runEnd.js';
-import { StreamReader } from './streamReader.js';
-import { WholeReader } from './wholeReader.js';
+import { StreamReader } from '../streaming/streamReader.js';
+import { WholeReader } from '../streaming/wholeReader.js';
 
 const connectMs = 1000;
 const idleMs = 4000;
 /** What is read of a return that is no success, so that its connection may be used again. */
-const mostDumped = 65_536;
+const maxDumped = 65_536;
 
 /** Inspected tasks to replicas by HTTP/1.1. A connection whose return was abandoned, wrong or another's is destroyed, never reused. */
-export class HttpReplicaWire implements ReplicaWire {
-  readonly #connections = new ConnectionPool({ connectMs, idleMs, idHeader: ownWords.task });
+export class HttpReplicaTransport implements ReplicaTransport {
+  readonly #connections = new ConnectionPool({ connectMs, idleMs, idHeader: defaultHeaderNames.task });
   readonly #clock: Clock;
 
   constructor(clock: Clock) {
@@ -23,7 +23,7 @@
   }
 
   run(task: ReplicaTask, piece: (data: string) => void, abort: AbortSignal): Promise<RunEnd> {
-    if (abort.aborted) return Promise.resolve({ t: 'unsent' });
+    if (abort.aborted) return Promise.resolve({ kind: 'unsent' });
     return new Promise((resolve) => this.#send(task, piece, abort, resolve));
   }
 
@@ -46,10 +46,10 @@
       abort.removeEventListener('abort', leave);
       resolve(end);
     };
-    const breakOff = (why: string): void => {
+    const breakOff = (reason: string): void => {
       const { begun } = sending;
       sending.abort();
-      finish(begun ? { t: 'broken', why, bytes: reader.bytes } : { t: 'unsent' });
+      finish(begun ? { kind: 'broken', reason, bytes: reader.bytes } : { kind: 'unsent' });
     };
     const leave = (): void => breakOff('given up');
     // One timer for both bounds: what was heard meanwhile only puts it off.
@@ -59,17 +59,17 @@
       else cancel = this.#clock.after(leftMs, watch);
     };
     const body = Buffer.from(JSON.stringify({ service: task.service, input: JSON.parse(task.input) }));
-    const headers = ['content-type', 'application/json', ownWords.task, id];
+    const headers = ['content-type', 'application/json', defaultHeaderNames.task, id];
     const sending = this.#connections.send(
       address,
       address,
       { id, method: 'POST', path: '/v1/run', headers, body },
       {
-        head: (code, _reason, back) => {
+        head: (code, _reason, response) => {
           status = code;
           heardMs = this.#clock.nowMs();
           // Without a length or chunks nobody can tell a whole return from a cut one.
-          const marked = headerOf(back, 'content-length') !== undefined || headerOf(back, 'transfer-encoding') !== undefined;
+          const marked = headerOf(response, 'content-length') !== undefined || headerOf(response, 'transfer-encoding') !== undefined;
           if (status === 200 && rule.kind === 'whole' && !marked) breakOff('the return has no end mark');
         },
         data: (chunk) => {
@@ -81,13 +81,13 @@
             return;
           }
           reader.bytes += chunk.length;
-          if (reader.bytes <= mostDumped) return;
+          if (reader.bytes <= maxDumped) return;
           sending.abort();
-          finish({ t: 'status', status });
+          finish({ kind: 'status', status });
         },
-        end: () => finish(status === 200 ? reader.end() : { t: 'status', status }),
+        end: () => finish(status === 200 ? reader.end() : { kind: 'status', status }),
         failed: (_error, how) =>
-          finish(how === 'sent' ? { t: 'broken', why: 'the replica broke off', bytes: reader.bytes } : { t: 'unsent' }),
+          finish(how === 'sent' ? { kind: 'broken', reason: 'the replica broke off', bytes: reader.bytes } : { kind: 'unsent' }),
       },
     );
     abort.addEventListener('abort', leave);
--- a/programs/proxy/src/liveTask.ts
+++ b/programs/proxy/src/forwarding/liveTask.ts
@@ -1,9 +1,9 @@
-import type { ServiceName, TaskId } from '@pewterlanding/runtime';
+import type { ServiceName, TaskId } from '@pewterlanding/model';
 
 /** A caller's question. */
 export interface LiveTask {
   readonly id: TaskId;
-  readonly branch: string | undefined;
+  readonly quota: string | undefined;
   readonly service: ServiceName;
   /** JSON text. */
   readonly input: string;
--- a/programs/proxy/src/opaqueTask.ts
+++ b/programs/proxy/src/forwarding/proxiedRequest.ts
@@ -1,5 +1,5 @@
 /** A task as the downstream sent it; its bytes are nobody's business here. */
-export interface OpaqueTask {
+export interface ProxiedRequest {
   readonly method: string;
   readonly host: string;
   /** Path and query, as sent. */
--- a/programs/proxy/src/replicaTask.ts
+++ b/programs/proxy/src/forwarding/replicaTask.ts
@@ -1,4 +1,4 @@
-import type { Address, Service, ServiceName, TaskId } from '@pewterlanding/runtime';
+import type { Address, Service, ServiceName, TaskId } from '@pewterlanding/model';
 
 /** One try, as it goes to a replica. */
 export interface ReplicaTask {
--- a/programs/proxy/src/returnWriter.ts
+++ b/programs/proxy/src/forwarding/responseWriter.ts
@@ -1,5 +1,5 @@
 /** The downstream's side of one task. */
-export interface ReturnWriter {
+export interface ResponseWriter {
   /** Status, reason and flat headers; they may leave with the first bytes. */
   readonly head: (status: number, reason: string, headers: readonly string[]) => void;
   /** False when the downstream reads slower than this; then `drained` tells when to go on. */
--- a/programs/proxy/src/exchangeAttempt.ts
+++ b/programs/proxy/src/forwarding/upstreamAttempt.ts
@@ -1,11 +1,12 @@
-import type { Clock, Service } from '@pewterlanding/runtime';
-import type { ConnectionPool } from './connectionPool.js';
+import type { Service } from '@pewterlanding/model';
+import type { Clock } from '@pewterlanding/runtime';
+import type { ConnectionPool } from '../connections/connectionPool.js';
 import { endToEnd } from './endToEnd.js';
-import { EventCutter } from './eventCutter.js';
-import { headerOf } from './headerOf.js';
-import type { HeaderWords } from './headerWords.js';
-import type { OpaqueTask } from './opaqueTask.js';
-import type { ReturnWriter } from './returnWriter.js';
+import { EventCutter } from '../streaming/eventCutter.js';
+import { headerOf } from '../connections/headerOf.js';
+import type { HeaderNames } from './headerNames.js';
+import type { ProxiedRequest } from './proxiedRequest.js';
+import type { ResponseWriter } from './responseWriter.js';
 import type { AttemptEnd } from './attemptEnd.js';
 
 /** What of a stream has been passed on, over all tries of it. */
@@ -17,12 +18,12 @@
   step: number;
 }
 
-interface ExchangeAttemptOptions {
+interface UpstreamAttemptOptions {
   readonly clock: Clock;
   readonly connections: ConnectionPool;
-  readonly words: HeaderWords;
-  readonly writer: ReturnWriter;
-  readonly task: OpaqueTask;
+  readonly headerNames: HeaderNames;
+  readonly writer: ResponseWriter;
+  readonly task: ProxiedRequest;
   readonly id: string;
   readonly rule: Service;
   readonly streamed: boolean;
@@ -38,9 +39,9 @@
 const promises = new Set([408, 421, 429, 503]);
 
 /** One try of an opaque task at one replica: what comes back is judged before a byte of it goes on. */
-export class ExchangeAttempt {
+export class UpstreamAttempt {
   readonly end: Promise<AttemptEnd>;
-  readonly #options: ExchangeAttemptOptions;
+  readonly #options: UpstreamAttemptOptions;
   readonly #chunks: Buffer[] = [];
   readonly #cutter = new EventCutter();
   #resolve: (end: AttemptEnd) => void = () => undefined;
@@ -55,7 +56,7 @@
   #paused = false;
   #over = false;
 
-  constructor(options: ExchangeAttemptOptions) {
+  constructor(options: UpstreamAttemptOptions) {
     this.#options = options;
     const { connections, id, key, address, task, headers } = options;
     this.#heardMs = options.clock.nowMs();
@@ -65,10 +66,10 @@
       address,
       { id, method: task.method, path: task.url, headers, body: task.body },
       {
-        head: (status, reason, back) => this.#head(status, reason, back),
+        head: (status, reason, response) => this.#head(status, reason, response),
         data: (chunk) => this.#data(chunk),
         end: () => this.#ended(),
-        failed: (error, how) => this.#finish(how === 'sent' ? { t: 'broken', why: error.message } : { t: how }),
+        failed: (error, how) => this.#finish(how === 'sent' ? { kind: 'broken', reason: error.message } : { kind: how }),
       },
     );
   }
@@ -98,18 +99,18 @@
   }
 
   /** Its time is over, or its downstream left. */
-  giveUp(why: string): void {
-    this.#stop({ t: this.#status === 0 ? 'silent' : 'broken', why });
+  giveUp(reason: string): void {
+    this.#stop({ kind: this.#status === 0 ? 'silent' : 'broken', reason });
   }
 
   /** Destroys the connection at once. */
-  abort(why: string): void {
-    this.#stop({ t: 'broken', why });
+  abort(reason: string): void {
+    this.#stop({ kind: 'broken', reason });
   }
 
   /** Where not a byte has left, for want of a connection, nothing can run: that is sure, however the try is ended. */
   #stop(end: AttemptEnd): void {
-    const sure = this.begun ? end : ({ t: 'unsent' } as const);
+    const sure = this.begun ? end : ({ kind: 'unsent' } as const);
     this.#sending?.abort();
     this.#finish(sure);
   }
@@ -121,14 +122,14 @@
   }
 
   #head(status: number, reason: string, headers: readonly string[]): void {
-    const { words, task, streamed } = this.#options;
+    const { headerNames, task, streamed } = this.#options;
     this.#heardMs = this.#options.clock.nowMs();
     this.#status = status;
     this.#reason = reason;
     this.#headers = headers;
-    this.#notRun = status >= 400 && headerOf(headers, words.notRun) !== undefined;
+    this.#notRun = status >= 400 && headerOf(headers, headerNames.notRun) !== undefined;
     const success = status >= 200 && status < 300;
-    if (success && headerOf(headers, words.seal) === undefined) return this.abort('a success without its seal');
+    if (success && headerOf(headers, headerNames.seal) === undefined) return this.abort('a success without its seal');
     if (success && headerOf(headers, 'content-encoding') !== undefined) return this.abort('a return that was encoded on its way');
     const bodiless = task.method === 'HEAD' || status === 204 || status === 304;
     // Without a length or chunks nobody can tell a whole return from a cut one.
@@ -203,12 +204,13 @@
       this.#begin();
       // Bytes after the last blank line belong to the replica's body too.
       this.#options.writer.end(this.#cutter.held.length > 0 ? this.#cutter.held : undefined);
-      return this.#finish({ t: 'streamed' });
+      return this.#finish({ kind: 'streamed' });
     }
-    const back = { status: this.#status, reason: this.#reason, headers: this.#headers, body: Buffer.concat(this.#chunks) };
-    if (this.#notRun) return this.#finish({ t: 'notRun', back });
+    const response = { status: this.#status, reason: this.#reason, headers: this.#headers, body: Buffer.concat(this.#chunks) };
+    if (this.#notRun) return this.#finish({ kind: 'notRun', result: response });
     // Without the replica's word these would promise what is not known.
-    if (promises.has(this.#status)) return this.#finish({ t: 'broken', why: `status ${this.#status} without a word that it did not run` });
-    this.#finish({ t: 'whole', back });
+    if (promises.has(this.#status))
+      return this.#finish({ kind: 'broken', reason: `status ${this.#status} without a word that it did not run` });
+    this.#finish({ kind: 'whole', result: response });
   }
 }
