--- a/programs/proxy/src/frontProxy.ts
+++ b/programs/proxy/src/frontProxy.ts
@@ -1,45 +1,47 @@
 import { LeaderFinder, ShardMap } from '@pewterlanding/consensus';
-import { agentCalls, newsKeys } from '@pewterlanding/agent';
+import { agentCalls, updateKeys } from '@pewterlanding/agent';
 import type { Replica } from '@pewterlanding/agent';
-import type { News } from '@pewterlanding/membership';
+import type { Update } from '@pewterlanding/membership';
 import * as v from 'valibot';
-import { every, Limits, StartupTimeline } from '@pewterlanding/runtime';
-import type { Address, Clock, Counters, Log, NodeName, Wire } from '@pewterlanding/runtime';
+import { Limits } from '@pewterlanding/model';
+import { every, StartupTimeline } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { fleetCeiling, shareOf } from '@pewterlanding/rate-limit';
-import { Forwarder } from './forwarder.js';
-import type { HeaderWords } from './headerWords.js';
-import type { ItemWire } from './itemWire.js';
-import { Choice } from './choice.js';
-import { PooledItemWire } from './pooledItemWire.js';
-import { ConnectionPool } from './connectionPool.js';
-import { FirstNews } from './firstNews.js';
-import { LotDesk } from './lotDesk.js';
-import { LotRunner } from './lotRunner.js';
-import { NewsDesk } from './newsDesk.js';
-import { ownWords } from './ownWords.js';
-import { Exchanges } from './exchanges.js';
-import { replicaKey } from './replicaKey.js';
-import type { ReplicaWire } from './replicaWire.js';
-import { Room } from './room.js';
-import { Slices } from './slices.js';
-import { UseBook } from './useBook.js';
+import { Forwarder } from './forwarding/forwarder.js';
+import type { HeaderNames } from './forwarding/headerNames.js';
+import type { ItemTransport } from './batch-runner/itemTransport.js';
+import { ReplicaSelector } from './selection/replicaSelector.js';
+import { PooledItemTransport } from './batch-runner/pooledItemTransport.js';
+import { ConnectionPool } from './connections/connectionPool.js';
+import { InitialUpdate } from './updates/initialUpdate.js';
+import { BatchService } from './batch-api/batchService.js';
+import { BatchRunner } from './batch-runner/batchRunner.js';
+import { RoutingState } from './updates/routingState.js';
+import { defaultHeaderNames } from './forwarding/defaultHeaderNames.js';
+import { ProxyHandler } from './forwarding/proxyHandler.js';
+import { replicaKey } from './routing/replicaKey.js';
+import type { ReplicaTransport } from './forwarding/replicaTransport.js';
+import { SlotPool } from './selection/slotPool.js';
+import { LocalQuota } from './quota/localQuota.js';
+import { InFlightCounts } from './selection/inFlightCounts.js';
 
 interface ProxyOptions {
   /** The front machine's name, shared with the agent. */
   readonly front: NodeName;
   /** Told anew at each start of the process. */
-  readonly life: string;
+  readonly instance: string;
   readonly zone: string;
   readonly agent: Address;
   /** Controllers that are asked until the agent is heard; left out, only the agent is waited for. */
   readonly seeds?: readonly Address[];
   readonly clock: Clock;
-  readonly wire: Wire;
-  readonly replicas: ReplicaWire;
+  readonly transport: Transport;
+  readonly replicas: ReplicaTransport;
   /** For opaque items; left out, they go over this front's connections. */
-  readonly items?: ItemWire | undefined;
+  readonly items?: ItemTransport | undefined;
   /** The names of headers on opaque tasks; left out, the product's own. */
-  readonly words?: HeaderWords;
+  readonly headerNames?: HeaderNames;
   readonly random: () => number;
   readonly heartbeatMs: number;
   readonly failureTimeoutMs: number;
@@ -60,136 +62,155 @@
 
 /** The proxy of one front machine: live tasks, lots' desk, leased items, replicas' announcements. */
 export class FrontProxy {
-  readonly desk: NewsDesk;
+  readonly routingState: RoutingState;
   readonly forwarder: Forwarder;
-  readonly exchanges: Exchanges;
-  readonly choice: Choice;
+  readonly proxyHandler: ProxyHandler;
+  readonly selector: ReplicaSelector;
   readonly connections: ConnectionPool;
-  readonly lots: LotDesk;
+  readonly batches: BatchService;
   readonly #options: ProxyOptions;
-  readonly #room: Room;
-  readonly #book = new UseBook();
-  readonly #slices: Slices;
-  readonly #runner: LotRunner;
+  readonly #slotPool: SlotPool;
+  readonly #inFlight = new InFlightCounts();
+  readonly #localQuota: LocalQuota;
+  readonly #runner: BatchRunner;
   readonly #timeline: StartupTimeline;
   readonly #stops: (() => void)[] = [];
-  readonly #unsaid = new Map<string, News>();
+  readonly #unsaid = new Map<string, Update>();
   #leaving = false;
   #wasFresh = false;
 
   constructor(options: ProxyOptions) {
     this.#options = options;
-    const { clock, wire, counters, front, life, replicas, heartbeatMs, failureTimeoutMs } = options;
+    const { clock, transport, counters, front, instance, replicas, heartbeatMs, failureTimeoutMs } = options;
     this.#timeline = options.timeline ?? new StartupTimeline({ clock, log: options.log });
-    this.desk = new NewsDesk({ front, life, clock });
+    this.routingState = new RoutingState({ front, instance, clock });
     const finder = new LeaderFinder({
-      wire,
+      transport,
       clock,
       tryMs: failureTimeoutMs,
-      members: (shard) => ShardMap.members(this.desk.tables.shards, shard, this.desk.board.get(ShardMap.groupKey(shard))?.value),
+      members: (shard) =>
+        ShardMap.members(this.routingState.tables.shards, shard, this.routingState.stateTable.get(ShardMap.groupKey(shard))?.value),
     });
-    const tables = () => this.desk.tables;
+    const tables = () => this.routingState.tables;
     const { random, zone } = options;
-    this.#room = new Room({ clock, random, zone, tables, book: this.#book, counters });
-    this.choice = new Choice({ clock, random, zone, tables, book: this.#book, counters });
-    const words = options.words ?? ownWords;
+    this.#slotPool = new SlotPool({ clock, random, zone, tables, inFlight: this.#inFlight, counters });
+    this.selector = new ReplicaSelector({ clock, random, zone, tables, inFlight: this.#inFlight, counters });
+    const headerNames = options.headerNames ?? defaultHeaderNames;
     this.connections = new ConnectionPool({
       connectMs: failureTimeoutMs * connectRatio,
       idleMs: failureTimeoutMs * idleRatio,
-      idHeader: words.task,
+      idHeader: headerNames.task,
     });
-    this.exchanges = new Exchanges({
+    this.proxyHandler = new ProxyHandler({
       clock,
-      desk: this.desk,
-      choice: this.choice,
+      routingState: this.routingState,
+      selector: this.selector,
       connections: this.connections,
-      words,
+      headerNames,
       counters,
       startMs: failureTimeoutMs * startRatio,
       served: () => this.#timeline.reach('first request served'),
     });
-    this.#slices = new Slices({
+    this.#localQuota = new LocalQuota({
       clock,
       counters,
       drawMs: heartbeatMs / 2,
       wordMs: heartbeatMs,
       // Later than the counter, which keeps this front's slice back after three quarters of the silence.
       aloneMs: failureTimeoutMs,
-      draw: (wants, backs) =>
-        wire.ask(
+      draw: (requested, returned) =>
+        transport.ask(
           options.agent,
-          agentCalls.draw,
-          { wants: [...wants], backs: [...backs], leases: this.#runner.leases(), live: this.#live() },
+          agentCalls.requestQuota,
+          { requested: [...requested], returned: [...returned], leases: this.#runner.leases(), live: this.#live() },
           failureTimeoutMs,
         ),
-      fixed: (branch) => {
-        const { setup, tree } = this.desk.tables;
-        return setup === undefined || !tree.has(branch)
+      fixed: (quota) => {
+        const { configuration, tree } = this.routingState.tables;
+        return configuration === undefined || !tree.has(quota)
           ? undefined
-          : shareOf(fleetCeiling(setup, this.desk.slots()), (tree.ownShare(branch) * setup.bounds.fallbackRatio) / setup.bounds.fronts);
+          : shareOf(
+              fleetCeiling(configuration, this.routingState.slots()),
+              (tree.ownShare(quota) * configuration.bounds.fallbackRatio) / configuration.bounds.fronts,
+            );
       },
     });
-    this.forwarder = new Forwarder({ clock, desk: this.desk, room: this.#room, slices: this.#slices, replicas, counters });
-    this.lots = new LotDesk({ front, life, clock, desk: this.desk, finder, waitMs: failureTimeoutMs * 5, counters });
-    this.#runner = new LotRunner({
+    this.forwarder = new Forwarder({
+      clock,
+      routingState: this.routingState,
+      slotPool: this.#slotPool,
+      localQuota: this.#localQuota,
+      replicas,
+      counters,
+    });
+    this.batches = new BatchService({
+      front,
+      instance,
+      clock,
+      routingState: this.routingState,
+      finder,
+      waitMs: failureTimeoutMs * 5,
+      counters,
+    });
+    this.#runner = new BatchRunner({
       front,
-      life,
+      instance,
       clock,
-      desk: this.desk,
-      room: this.#room,
-      choice: this.choice,
+      routingState: this.routingState,
+      slotPool: this.#slotPool,
+      selector: this.selector,
       finder,
       replicas,
-      items: options.items ?? new PooledItemWire({ clock, connections: this.connections, words }),
-      words,
+      items: options.items ?? new PooledItemTransport({ clock, connections: this.connections, headerNames }),
+      headerNames,
       random: options.random,
       counters,
-      settle: (settled) => wire.tell(options.agent, agentCalls.settle, { settled: [settled] }),
+      settle: (settled) => transport.tell(options.agent, agentCalls.settle, { settled: [settled] }),
     });
-    const firstNews = new FirstNews({
+    const initialUpdate = new InitialUpdate({
       front,
-      wire,
+      transport,
       clock,
       counters,
       seeds: options.seeds ?? [],
-      board: this.desk.board,
+      stateTable: this.routingState.stateTable,
       heartbeatMs,
-      take: (news) => this.#take(news),
+      take: (updates) => this.#take(updates),
     });
-    this.#stops.push(() => firstNews.close());
-    wire.serve(agentCalls.feed, async ({ news }) => {
+    this.#stops.push(() => initialUpdate.close());
+    transport.serve(agentCalls.feed, async ({ updates }) => {
       this.#timeline.reach('first peer heard');
-      this.#take(news);
-      if (this.desk.tables.setup !== undefined) firstNews.close();
+      this.#take(updates);
+      if (this.routingState.tables.configuration !== undefined) initialUpdate.close();
       return {
-        life,
-        version: this.desk.tables.version,
-        checksum: this.desk.board.checksum,
-        stamp: this.desk.stamp(),
-        use: Object.fromEntries(this.#book.all()),
+        instance,
+        version: this.routingState.tables.version,
+        checksum: this.routingState.stateTable.checksum,
+        clockReading: this.routingState.clockReading(),
+        use: Object.fromEntries(this.#inFlight.all()),
       };
     });
-    wire.serve(agentCalls.lease, async ({ epoch, offers }) => {
-      const known = this.desk.tables.duty?.epoch ?? 0;
-      if (epoch < known || this.#leaving) return { taken: false, epoch: known };
+    transport.serve(agentCalls.lease, async ({ term, offers }) => {
+      const known = this.routingState.tables.singletonRole?.term ?? 0;
+      if (term < known || this.#leaving) return { taken: false, term: known };
       this.#runner.take(offers);
-      return { taken: true, epoch };
+      return { taken: true, term };
     });
-    this.#timeline.await('configuration held', () => this.desk.tables.setup !== undefined);
-    this.#timeline.await('replicas known', () => this.desk.tables.replicas.size > 0);
-    this.#stops.push(every(clock, heartbeatMs, () => this.#beat()));
+    this.#timeline.await('configuration held', () => this.routingState.tables.configuration !== undefined);
+    this.#timeline.await('replicas known', () => this.routingState.tables.replicas.size > 0);
+    this.#stops.push(every(clock, heartbeatMs, () => this.#heartbeat()));
   }
 
   /** Whether the platform should send callers here. */
-  ready(): { readonly ready: boolean; readonly why: string } {
-    if (this.#leaving) return { ready: false, why: 'leaving' };
-    if (this.desk.tables.setup === undefined) return { ready: false, why: 'no setup' };
-    return this.desk.fresh() ? { ready: true, why: 'fresh' } : { ready: false, why: 'stale' };
+  ready(): { readonly ready: boolean; readonly reason: string } {
+    if (this.#leaving) return { ready: false, reason: 'leaving' };
+    if (this.routingState.tables.configuration === undefined) return { ready: false, reason: 'no setup' };
+    return this.routingState.fresh() ? { ready: true, reason: 'fresh' } : { ready: false, reason: 'stale' };
   }
 
   /** What downstreams may send; the usual limits until a setup says otherwise. */
   get limits(): Limits {
-    return this.desk.tables.setup?.limits ?? usualLimits;
+    return this.routingState.tables.configuration?.limits ?? usualLimits;
   }
 
   get leaving(): boolean {
@@ -198,18 +219,18 @@
 
   /** Tasks and items under way. */
   get running(): number {
-    return this.forwarder.running + this.exchanges.running + this.#runner.running;
+    return this.forwarder.running + this.proxyHandler.running + this.#runner.running;
   }
 
   status() {
-    const { version, replicas } = this.desk.tables;
+    const { version, replicas } = this.routingState.tables;
     const rows = [...replicas.values()].flat().map(({ replica, others }) => ({ ...replica, others }));
     return {
       ...this.ready(),
       version,
       running: this.running,
-      waiting: this.#room.waiting,
-      alone: this.#slices.alone,
+      waiting: this.#slotPool.waiting,
+      alone: this.#localQuota.alone,
       startup: this.#timeline.stages(),
       replicas: rows,
     };
@@ -217,18 +238,18 @@
 
   /** Takes a replica's word, acts on it at once, and has the agent spread it. */
   announce(replica: Replica): 'taken' | 'unknown service' | 'not allowed' | 'stale incarnation' {
-    const objection = this.desk.objection(replica);
+    const objection = this.routingState.objection(replica);
     if (objection !== undefined) {
       this.#options.counters.add(`replica.refused`);
       return objection;
     }
-    const key = newsKeys.replica(replica.service, replicaKey(replica));
-    const known = this.desk.board.get(key);
+    const key = updateKeys.replica(replica.service, replicaKey(replica));
+    const known = this.routingState.stateTable.get(key);
     const turn = replica.state === 'leaving' ? leavingTurn : known?.version[0] === replica.incarnation ? known.version[1] + 1 : 0;
-    const news = { key, version: [replica.incarnation, turn] satisfies [number, number], volatile: false, value: replica };
-    this.desk.take([news]);
+    const update = { key, version: [replica.incarnation, turn] satisfies [number, number], volatile: false, value: replica };
+    this.routingState.take([update]);
     this.#heard();
-    this.#unsaid.set(key, news);
+    this.#unsaid.set(key, update);
     void this.#say();
     this.#options.counters.add(`replica.${replica.state}`);
     return 'taken';
@@ -248,12 +269,12 @@
 
   /** The last word to the agent, which kept the news coming until now. */
   finish(): void {
-    this.#options.wire.tell(this.#options.agent, agentCalls.leave, {});
+    this.#options.transport.tell(this.#options.agent, agentCalls.leave, {});
     this.close();
   }
 
   close(): void {
-    this.#slices.close();
+    this.#localQuota.close();
     for (const stop of this.#stops) stop();
     void this.connections.close();
   }
@@ -263,44 +284,44 @@
     const said = [...this.#unsaid.values()];
     if (said.length === 0) return;
     try {
-      await this.#options.wire.ask(this.#options.agent, agentCalls.tell, { news: said }, this.#options.heartbeatMs);
-      for (const news of said) if (this.#unsaid.get(news.key) === news) this.#unsaid.delete(news.key);
+      await this.#options.transport.ask(this.#options.agent, agentCalls.tell, { updates: said }, this.#options.heartbeatMs);
+      for (const update of said) if (this.#unsaid.get(update.key) === update) this.#unsaid.delete(update.key);
     } catch {
       this.#options.counters.add('proxy.unsaid');
     }
   }
 
-  #take(news: readonly News[]): void {
-    this.desk.take(news);
-    this.#room.heard();
-    this.choice.heard();
+  #take(updates: readonly Update[]): void {
+    this.routingState.take(updates);
+    this.#slotPool.heard();
+    this.selector.heard();
     this.#heard();
   }
 
   /** The tables may have changed. */
   #heard(): void {
-    const keys = new Set([...this.desk.tables.replicas.values()].flat().map(({ replica }) => replicaKey(replica)));
+    const keys = new Set([...this.routingState.tables.replicas.values()].flat().map(({ replica }) => replicaKey(replica)));
     this.connections.retain(keys);
-    this.choice.retain(keys);
-    this.exchanges.look();
+    this.selector.retain(keys);
+    this.proxyHandler.look();
     this.#timeline.look();
-    this.choice.wake();
-    this.#room.wake();
+    this.selector.wake();
+    this.#slotPool.wake();
   }
 
   /** What live tasks take and want, on both paths. */
   #live() {
-    return this.#room.live().map((one) => ({ ...one, waiting: one.waiting + this.choice.waiting(one.service) }));
+    return this.#slotPool.live().map((one) => ({ ...one, waiting: one.waiting + this.selector.waiting(one.service) }));
   }
 
-  #beat(): void {
+  #heartbeat(): void {
     void this.#say();
     // Silence of replicas is no news, so the tables are derived anew as time passes.
-    this.desk.rebuild();
+    this.routingState.rebuild();
     this.#heard();
-    const fresh = this.desk.fresh();
+    const fresh = this.routingState.fresh();
     if (fresh !== this.#wasFresh)
-      this.#options.log.info(fresh ? `fresh under version ${this.desk.tables.version}` : 'stale: refusing tasks');
+      this.#options.log.info(fresh ? `fresh under version ${this.routingState.tables.version}` : 'stale: refusing tasks');
     this.#wasFresh = fresh;
   }
 }
--- a/programs/proxy/src/main.ts
+++ b/programs/proxy/src/main.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
 import meow from 'meow';
-import { addressParts, runProgram } from '@pewterlanding/runtime';
-import { proxyHttp } from './proxyHttp.js';
+import { addressParts } from '@pewterlanding/model';
+import { runProgram } from '@pewterlanding/runtime';
+import { proxyHttp } from './server/proxyHttp.js';
 import { startProxy } from './startProxy.js';
 
 const cli = meow(
@@ -18,13 +19,18 @@
 await runProgram({
   flags: cli.flags,
   needs: ['http', 'beside'],
-  start: (given) =>
+  start: (granted) =>
     startProxy({
-      ...given,
-      serve: async ({ boot, proxy, life, counters }) => {
+      ...granted,
+      serve: async ({ bootSettings, proxy, instance, counters }) => {
         let tasks = 0;
-        const app = proxyHttp({ proxy, counters, nextTask: () => `${boot.name}-${life}-${(tasks += 1)}`, maxBodyBytes: 8 << 20 });
-        const { host, port } = addressParts(given.http);
+        const app = proxyHttp({
+          proxy,
+          counters,
+          nextTask: () => `${bootSettings.name}-${instance}-${(tasks += 1)}`,
+          maxBodyBytes: 8 << 20,
+        });
+        const { host, port } = addressParts(granted.http);
         await app.listen({ host, port });
         return async () => {
           await app.close();
--- a/programs/proxy/src/slices.ts
+++ b/programs/proxy/src/quota/localQuota.ts
@@ -1,7 +1,8 @@
 import { every } from '@pewterlanding/runtime';
-import type { BranchName, Clock, Counters } from '@pewterlanding/runtime';
-import type { Draw, Drawn } from '@pewterlanding/agent';
-import { Purse, shareOf, takeBoth } from '@pewterlanding/rate-limit';
+import type { QuotaName } from '@pewterlanding/model';
+import type { Clock, Counters } from '@pewterlanding/runtime';
+import type { QuotaRequest, QuotaGrant } from '@pewterlanding/agent';
+import { LocalAllowance, shareOf, takeBoth } from '@pewterlanding/rate-limit';
 import type { Cost, Taken } from '@pewterlanding/rate-limit';
 
 interface Waiter {
@@ -18,10 +19,10 @@
   mean: Cost;
   usedMs: number;
   waiters: Waiter[];
-  own: Purse | undefined;
+  own: LocalAllowance | undefined;
 }
 
-interface SlicesOptions {
+interface LocalQuotaOptions {
   readonly clock: Clock;
   readonly counters: Counters;
   readonly drawMs: number;
@@ -29,21 +30,21 @@
   readonly wordMs: number;
   /** Without the counter's word for so long, the front spends its fixed slice. */
   readonly aloneMs: number;
-  readonly draw: (wants: Draw['wants'], backs: Draw['backs']) => Promise<Drawn>;
+  readonly draw: (requested: QuotaRequest['requested'], returned: QuotaRequest['returned']) => Promise<QuotaGrant>;
   /** The branch's part of the fixed slice, a minute; undefined for a branch that no setup knows. */
-  readonly fixed: (branch: BranchName) => Cost | undefined;
+  readonly fixed: (quota: QuotaName) => Cost | undefined;
 }
 
 /** A front's prepaid budget: small slices drawn from the counter, or its fixed slice while the counter is silent. */
-export class Slices {
-  readonly #options: SlicesOptions;
-  readonly #held = new Map<BranchName, Held>();
+export class LocalQuota {
+  readonly #options: LocalQuotaOptions;
+  readonly #held = new Map<QuotaName, Held>();
   readonly #stop: () => void;
   #heardMs: number;
   #drawnMs = Number.NEGATIVE_INFINITY;
   #drawing = false;
 
-  constructor(options: SlicesOptions) {
+  constructor(options: LocalQuotaOptions) {
     this.#options = options;
     this.#heardMs = options.clock.nowMs();
     this.#stop = every(options.clock, options.drawMs, () => this.#turn());
@@ -58,10 +59,10 @@
   }
 
   /** Takes a task's cost. Refuses as soon as it is known that there is none; waits only while that is not known. */
-  take(branch: BranchName, cost: Cost, waitMs: number): Promise<Taken> {
-    const held = this.#of(branch);
+  take(quota: QuotaName, cost: Cost, waitMs: number): Promise<Taken> {
+    const held = this.#of(quota);
     const now = this.#options.clock.nowMs();
-    if (held.waiters.length === 0 && this.#spend(branch, held, cost, now)) return Promise.resolve({ ok: true });
+    if (held.waiters.length === 0 && this.#spend(quota, held, cost, now)) return Promise.resolve({ ok: true });
     if (this.alone) {
       this.#options.counters.add('slices.aloneRefused');
       const retryAfterMs = held.own?.retryAfterMs(cost) ?? this.#options.aloneMs;
@@ -74,15 +75,15 @@
   }
 
   /** The task did not run: its cost is there again. */
-  put(branch: BranchName, cost: Cost): void {
-    const held = this.#of(branch);
+  put(quota: QuotaName, cost: Cost): void {
+    const held = this.#of(quota);
     held.requests += cost.requests;
     held.tokens += cost.tokens;
   }
 
   /** The difference between what was estimated and what was used. */
-  settle(branch: BranchName, tokens: number): void {
-    this.#of(branch).tokens += tokens;
+  settle(quota: QuotaName, tokens: number): void {
+    this.#of(quota).tokens += tokens;
   }
 
   /** A front with nothing to draw says its word only so often as it must. */
@@ -96,25 +97,25 @@
     if (this.#drawing) return;
     this.#drawing = true;
     try {
-      const { wants, backs } = this.#words();
+      const { requested, returned } = this.#words();
       this.#drawnMs = this.#options.clock.nowMs();
-      const drawn = await this.#options.draw(wants, backs);
+      const quotaGrant = await this.#options.draw(requested, returned);
       this.#heardMs = this.#options.clock.nowMs();
-      for (const { branch, given, retryAfterMs } of drawn.given) this.#take(branch, given, retryAfterMs);
+      for (const { quota, granted, retryAfterMs } of quotaGrant.granted) this.#take(quota, granted, retryAfterMs);
     } catch {
       this.#options.counters.add('slices.undrawn');
-      if (this.alone) for (const [branch, held] of this.#held) this.#serve(branch, held, this.#options.aloneMs);
+      if (this.alone) for (const [quota, held] of this.#held) this.#serve(quota, held, this.#options.aloneMs);
     } finally {
       this.#drawing = false;
       this.#expire();
     }
   }
 
-  #words(): { readonly wants: Draw['wants']; readonly backs: Draw['backs'] } {
+  #words(): { readonly requested: QuotaRequest['requested']; readonly returned: QuotaRequest['returned'] } {
     const now = this.#options.clock.nowMs();
-    const wants: Draw['wants'] = [];
-    const backs: Draw['backs'] = [];
-    for (const [branch, held] of this.#held) {
+    const requested: QuotaRequest['requested'] = [];
+    const returned: QuotaRequest['returned'] = [];
+    for (const [quota, held] of this.#held) {
       held.mean = {
         requests: held.mean.requests * 0.8 + held.spent.requests * 0.2,
         tokens: held.mean.tokens * 0.8 + held.spent.tokens * 0.2,
@@ -125,12 +126,12 @@
         { requests: 0, tokens: 0 },
       );
       // Two draws' worth ahead, so that the usual task finds its slice here.
-      const wish = {
+      const desired = {
         requests: Math.max(0, Math.ceil(waiting.requests + held.mean.requests * 3 - held.requests)),
         tokens: Math.max(0, Math.ceil(waiting.tokens + held.mean.tokens * 3 - held.tokens)),
       };
       const first = held.waiters[0]?.cost;
-      const least =
+      const minimum =
         first === undefined
           ? { requests: 0, tokens: 0 }
           : {
@@ -139,28 +140,28 @@
             };
       // A branch in use says so even when it wants nothing now: its room is not there to be lent.
       const used = now - held.usedMs < this.#options.aloneMs * 2;
-      if (used || wish.requests > 0 || wish.tokens > 0) wants.push({ branch, wish, least });
+      if (used || desired.requests > 0 || desired.tokens > 0) requested.push({ quota, desired, minimum });
       // Room that lies here unused is missing elsewhere.
       if (held.waiters.length === 0 && !used && (held.requests !== 0 || held.tokens !== 0)) {
-        backs.push({ branch, back: { requests: Math.floor(held.requests), tokens: Math.floor(held.tokens) } });
-        this.#held.delete(branch);
+        returned.push({ quota, returned: { requests: Math.floor(held.requests), tokens: Math.floor(held.tokens) } });
+        this.#held.delete(quota);
       }
     }
-    return { wants, backs };
+    return { requested, returned };
   }
 
-  #take(branch: BranchName, given: Cost, retryAfterMs: number): void {
-    const held = this.#of(branch);
-    held.requests += given.requests;
-    held.tokens += given.tokens;
-    this.#serve(branch, held, retryAfterMs);
+  #take(quota: QuotaName, granted: Cost, retryAfterMs: number): void {
+    const held = this.#of(quota);
+    held.requests += granted.requests;
+    held.tokens += granted.tokens;
+    this.#serve(quota, held, retryAfterMs);
   }
 
   /** Serves waiters in order; those for whom there is surely nothing are told when to come back. */
-  #serve(branch: BranchName, held: Held, retryAfterMs: number): void {
+  #serve(quota: QuotaName, held: Held, retryAfterMs: number): void {
     const now = this.#options.clock.nowMs();
     for (let first = held.waiters[0]; first !== undefined; first = held.waiters[0]) {
-      if (this.#spend(branch, held, first.cost, now)) {
+      if (this.#spend(quota, held, first.cost, now)) {
         held.waiters.shift();
         first.take({ ok: true });
       } else if (retryAfterMs > 0) {
@@ -179,29 +180,29 @@
     }
   }
 
-  #spend(branch: BranchName, held: Held, cost: Cost, now: number): boolean {
+  #spend(quota: QuotaName, held: Held, cost: Cost, now: number): boolean {
     if (held.requests >= cost.requests && held.tokens >= cost.tokens) {
       held.requests -= cost.requests;
       held.tokens -= cost.tokens;
-    } else if (!this.alone || !this.#spendOwn(branch, held, cost, now)) return false;
+    } else if (!this.alone || !this.#spendOwn(quota, held, cost, now)) return false;
     held.spent = { requests: held.spent.requests + cost.requests, tokens: held.spent.tokens + cost.tokens };
     held.usedMs = now;
     return true;
   }
 
   /** The fixed slice, by the same step as the counter's; the counter keeps back as much for a front it does not hear. */
-  #spendOwn(branch: BranchName, held: Held, cost: Cost, now: number): boolean {
-    const rate = this.#options.fixed(branch);
+  #spendOwn(quota: QuotaName, held: Held, cost: Cost, now: number): boolean {
+    const rate = this.#options.fixed(quota);
     if (rate === undefined) return false;
-    held.own ??= new Purse(shareOf(rate, 0.1), rate, { requests: 0, tokens: 0 }, now);
+    held.own ??= new LocalAllowance(shareOf(rate, 0.1), rate, { requests: 0, tokens: 0 }, now);
     held.own.reshape(shareOf(rate, 0.1), rate, now);
     const taken = takeBoth([held.own], cost, now).ok;
     if (taken) this.#options.counters.add('slices.alone');
     return taken;
   }
 
-  #of(branch: BranchName): Held {
-    const known = this.#held.get(branch);
+  #of(quota: QuotaName): Held {
+    const known = this.#held.get(quota);
     if (known !== undefined) return known;
     const none = { requests: 0, tokens: 0 };
     const held: Held = {
@@ -213,7 +214,7 @@
       waiters: [],
       own: undefined,
     };
-    this.#held.set(branch, held);
+    this.#held.set(quota, held);
     return held;
   }
 }
--- a/programs/proxy/src/replicaKey.ts
+++ b/programs/proxy/src/routing/replicaKey.ts
@@ -2,5 +2,5 @@
 
 /** What tells replicas apart: the life where they name one, for two lives may follow each other at one address. */
 export function replicaKey(replica: Replica): string {
-  return replica.life ?? replica.address;
+  return replica.instance ?? replica.address;
 }
--- a/programs/proxy/src/failureScores.ts
+++ b/programs/proxy/src/selection/failureScores.ts
@@ -17,7 +17,7 @@
 /** A replica fails more than others do when its score is above so many times that of all. */
 const overAll = 2;
 /** A replica that always fails counts as fuller by so many times its slots. */
-const mostPenalty = 4;
+const maxPenalty = 4;
 
 /**
  * How many of the attempts at each replica failed of late, seen from this front. A replica may fail a part of its requests, or fall
@@ -46,7 +46,7 @@
   /** What to add to the replica's occupancy. */
   penalty(key: string): number {
     if (this.#scores.size === 0) return 0;
-    return Math.max(0, this.#now(key) - this.#all * overAll) * mostPenalty;
+    return Math.max(0, this.#now(key) - this.#all * overAll) * maxPenalty;
   }
 
   /** Forgets replicas that are gone. */
--- a/programs/proxy/src/useBook.ts
+++ b/programs/proxy/src/selection/inFlightCounts.ts
@@ -1,18 +1,18 @@
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 
 /** What this front has under way at replicas, by address, whatever path it came by. */
-export class UseBook {
+export class InFlightCounts {
   readonly #running = new Map<Address, number>();
-  readonly #lots = new Map<Address, number>();
+  readonly #batches = new Map<Address, number>();
 
-  begin(address: Address, kind: 'live' | 'lot'): void {
+  begin(address: Address, kind: 'live' | 'batch'): void {
     count(this.#running, address, 1);
-    if (kind === 'lot') count(this.#lots, address, 1);
+    if (kind === 'batch') count(this.#batches, address, 1);
   }
 
-  end(address: Address, kind: 'live' | 'lot'): void {
+  end(address: Address, kind: 'live' | 'batch'): void {
     count(this.#running, address, -1);
-    if (kind === 'lot') count(this.#lots, address, -1);
+    if (kind === 'batch') count(this.#batches, address, -1);
   }
 
   at(address: Address): number {
@@ -20,7 +20,7 @@
   }
 
   liveAt(address: Address): number {
-    return this.at(address) - (this.#lots.get(address) ?? 0);
+    return this.at(address) - (this.#batches.get(address) ?? 0);
   }
 
   all(): ReadonlyMap<Address, number> {
--- a/programs/proxy/src/choice.ts
+++ b/programs/proxy/src/selection/replicaSelector.ts
@@ -1,22 +1,23 @@
-import type { Address, Clock, Counters, Service, ServiceName } from '@pewterlanding/runtime';
+import type { Address, Service, ServiceName } from '@pewterlanding/model';
+import type { Clock, Counters } from '@pewterlanding/runtime';
 import { FailureScores } from './failureScores.js';
-import { replicaKey } from './replicaKey.js';
-import type { ReplicaRow } from './replicaRow.js';
-import type { Tables } from './tables.js';
-import type { UseBook } from './useBook.js';
+import { replicaKey } from '../routing/replicaKey.js';
+import type { ReplicaRow } from '../routing/replicaRow.js';
+import type { Tables } from '../routing/tables.js';
+import type { InFlightCounts } from './inFlightCounts.js';
 
-interface ChoiceOptions {
+interface ReplicaSelectorOptions {
   readonly clock: Clock;
   readonly random: () => number;
   readonly zone: string;
   readonly tables: () => Tables;
-  readonly book: UseBook;
+  readonly inFlight: InFlightCounts;
   readonly counters: Counters;
 }
 
-interface Wish {
+interface SelectionRequest {
   readonly service: ServiceName;
-  readonly kind: 'live' | 'lot';
+  readonly kind: 'live' | 'batch';
   /** 0 comes first. */
   readonly urgency: number;
   /** Among lots' items that are as urgent, the one that is due first comes first. */
@@ -36,17 +37,17 @@
  * How a try ended, as far as it tells of the replica's health. `poor` may be the task's doing as well: out of time with no word,
  * or the replica's own failure.
  */
-type SeatEnd = 'well' | 'hurt' | 'full' | 'poor' | 'unknown';
+type AttemptOutcome = 'well' | 'hurt' | 'full' | 'poor' | 'unknown';
 
-interface GroupMember {
+interface SelectedReplica {
   readonly key: string;
   readonly address: Address;
-  readonly life: string | undefined;
+  readonly instance: string | undefined;
   /** The prompt was read: the first event came. */
   readonly read: () => void;
   /** The replica has been silent for longer than an answer that is in time takes. */
   readonly overdue: () => void;
-  readonly leave: (end: SeatEnd) => void;
+  readonly leave: (end: AttemptOutcome) => void;
 }
 
 interface Held {
@@ -63,8 +64,8 @@
 }
 
 interface Waiting {
-  readonly wish: Wish;
-  readonly done: (seat: GroupMember | undefined) => void;
+  readonly selectionRequest: SelectionRequest;
+  readonly done: (selected: SelectedReplica | undefined) => void;
 }
 
 /** Replicas keep a line of their own; beyond so many times its slots a task had better wait here, where any replica may take it. */
@@ -82,92 +83,94 @@
 /** First rests after a failure and after a full line, and the longest, as ratios of the silence after which a replica is gone. */
 const hurtRatio = 0.05;
 const fullRatio = 0.02;
-const longestRatio = 2;
-const longestFullRatio = 0.1;
+const maxRatio = 2;
+const maxFullRatio = 0.1;
 /** So many poor ends in a row are taken for the replica's doing. */
-const mostPoor = 3;
-const shortestRetryMs = 100;
-const longestRetryMs = 500;
+const maxPoor = 3;
+const minRetryMs = 100;
+const maxRetryMs = 500;
 const paceMemory = 16;
 
 /** Chooses replicas by the work they have, and keeps what this front has under way at each. */
-export class Choice {
-  readonly #options: ChoiceOptions;
+export class ReplicaSelector {
+  readonly #options: ReplicaSelectorOptions;
   readonly #held = new Map<string, Held>();
   readonly #hurt = new Map<string, Hurt>();
   readonly #poor = new Map<string, number>();
   readonly #scores: FailureScores;
   readonly #lines = new Map<ServiceName, Waiting[]>();
-  readonly #lots = new Map<ServiceName, number>();
+  readonly #batches = new Map<ServiceName, number>();
   /** What was under way here when others' use was last heard, by replica. */
   #base: ReadonlyMap<Address, number> = new Map();
   #waiting = 0;
   #paceMs = 0;
   #leftMs = 0;
 
-  constructor(options: ChoiceOptions) {
+  constructor(options: ReplicaSelectorOptions) {
     this.#options = options;
-    this.#scores = new FailureScores(options.clock, () => options.tables().setup?.bounds.replicaFailureTimeoutMs ?? 0);
+    this.#scores = new FailureScores(options.clock, () => options.tables().configuration?.bounds.replicaFailureTimeoutMs ?? 0);
   }
 
   /** Live tasks that wait for a place, by service. */
   waiting(service: ServiceName): number {
-    return (this.#lines.get(service) ?? []).filter(({ wish }) => wish.kind === 'live').length;
+    return (this.#lines.get(service) ?? []).filter(({ selectionRequest }) => selectionRequest.kind === 'live').length;
   }
 
   /** Waits for a place. Undefined when there is no replica, the line is full, or a lot's item found none in time. */
-  enter(wish: Wish, waitMs: number, abort: AbortSignal): Promise<GroupMember | undefined> {
+  enter(selectionRequest: SelectionRequest, waitMs: number, abort: AbortSignal): Promise<SelectedReplica | undefined> {
     const { clock, tables, counters } = this.#options;
-    if (abort.aborted || this.#rows(wish).length === 0) return Promise.resolve(undefined);
-    const now = this.#take(wish, false);
+    if (abort.aborted || this.#rows(selectionRequest).length === 0) return Promise.resolve(undefined);
+    const now = this.#take(selectionRequest, false);
     if (now !== undefined) return Promise.resolve(now);
     // With the line full too, only circuits set a limit: the replica's own word is better than a guess here.
-    if (this.#waiting >= (tables().setup?.bounds.queue ?? 0) || waitMs <= 0)
-      return Promise.resolve(wish.kind === 'live' ? this.#take(wish, true) : undefined);
+    if (this.#waiting >= (tables().configuration?.bounds.queue ?? 0) || waitMs <= 0)
+      return Promise.resolve(selectionRequest.kind === 'live' ? this.#take(selectionRequest, true) : undefined);
     counters.add('choice.waits');
     return new Promise((resolve) => {
-      const line = this.#lines.get(wish.service) ?? [];
-      this.#lines.set(wish.service, line);
+      const line = this.#lines.get(selectionRequest.service) ?? [];
+      this.#lines.set(selectionRequest.service, line);
       const waiting: Waiting = {
-        wish,
-        done: (seat) => {
+        selectionRequest,
+        done: (selected) => {
           cancel();
           abort.removeEventListener('abort', leave);
           this.#waiting -= 1;
           const at = line.indexOf(waiting);
           if (at >= 0) line.splice(at, 1);
-          if (line.length === 0) this.#lines.delete(wish.service);
-          resolve(seat);
+          if (line.length === 0) this.#lines.delete(selectionRequest.service);
+          resolve(selected);
         },
       };
       const leave = (): void => waiting.done(undefined);
       // Waited enough: a live task is offered to a full replica rather than refused here, for the replica may still take it.
-      const cancel = clock.after(waitMs, () => waiting.done(wish.kind === 'live' ? this.#take(wish, true) : undefined));
+      const cancel = clock.after(waitMs, () =>
+        waiting.done(selectionRequest.kind === 'live' ? this.#take(selectionRequest, true) : undefined),
+      );
       abort.addEventListener('abort', leave);
-      const place = line.findIndex((other) => before(wish, other.wish));
-      line.splice(place < 0 ? line.length : place, 0, waiting);
+      const position = line.findIndex((other) => before(selectionRequest, other.selectionRequest));
+      line.splice(position < 0 ? line.length : position, 0, waiting);
       this.#waiting += 1;
     });
   }
 
   /** Whether a replica is left for one more try, or that one is able to run it. */
-  offers(wish: Wish, key?: string): boolean {
-    return this.#rows(wish).some((row) => key === undefined || replicaKey(row.replica) === key);
+  offers(selectionRequest: SelectionRequest, key?: string): boolean {
+    return this.#rows(selectionRequest).some((row) => key === undefined || replicaKey(row.replica) === key);
   }
 
   /** Others' use was heard anew. */
   heard(): void {
-    this.#base = new Map(this.#options.book.all());
+    this.#base = new Map(this.#options.inFlight.all());
   }
 
   /** Gives freed places to those who wait. Called when one is left and when the tables change. */
   wake(): void {
     for (const line of [...this.#lines.values()])
       for (const waiting of [...line]) {
-        const seat = this.#take(waiting.wish, false);
-        if (seat !== undefined) waiting.done(seat);
+        const selected = this.#take(waiting.selectionRequest, false);
+        if (selected !== undefined) waiting.done(selected);
         // The first that finds none tells enough of those after it, but for the ones that were elsewhere already.
-        else if (waiting.wish.without.size === 0) break;
+        else if (waiting.selectionRequest.without.size === 0) break;
       }
   }
 
@@ -180,12 +183,14 @@
   /** When a refused task may find a place: as long as the line takes at its pace of late. */
   retryAfterMs(service: ServiceName): number {
     const line = (this.#lines.get(service)?.length ?? 0) + 1;
-    return Math.min(longestRetryMs, Math.max(shortestRetryMs, line * this.#paceMs));
+    return Math.min(maxRetryMs, Math.max(minRetryMs, line * this.#paceMs));
   }
 
-  #rows(wish: Wish): readonly ReplicaRow[] {
-    const rows = (this.#options.tables().replicas.get(wish.service) ?? []).filter((row) => !wish.without.has(replicaKey(row.replica)));
-    const { model } = wish;
+  #rows(selectionRequest: SelectionRequest): readonly ReplicaRow[] {
+    const rows = (this.#options.tables().replicas.get(selectionRequest.service) ?? []).filter(
+      (row) => !selectionRequest.without.has(replicaKey(row.replica)),
+    );
+    const { model } = selectionRequest;
     if (model === undefined) return rows;
     const able = rows.filter(({ replica }) => replica.models === undefined || replica.models.includes(model));
     // Announcements are a little old: where none names the model, a replica had better say so itself.
@@ -194,7 +199,7 @@
 
   /** Places taken here and by others. */
   #total(row: ReplicaRow): number {
-    return this.#options.book.at(row.replica.address) + row.others;
+    return this.#options.inFlight.at(row.replica.address) + row.others;
   }
 
   /** Occupancy, prompts being read counted as the shard of the memory that they fill. */
@@ -205,42 +210,43 @@
     return this.#total(row) / row.replica.slots + filled + this.#scores.penalty(key);
   }
 
-  #fits(row: ReplicaRow, wish: Wish, rule: Service | undefined, forced: boolean): boolean {
+  #fits(row: ReplicaRow, selectionRequest: SelectionRequest, rule: Service | undefined, forced: boolean): boolean {
     const held = this.#held.get(replicaKey(row.replica));
     const { fronts } = this.#options.tables();
     // All fronts together stay below the circuits that a replica takes.
-    const circuits = rule?.circuits === undefined ? Infinity : Math.max(2, Math.floor(rule.circuits / fronts));
-    if ((held?.running ?? 0) >= circuits) return false;
+    const connections = rule?.connections === undefined ? Infinity : Math.max(2, Math.floor(rule.connections / fronts));
+    if ((held?.running ?? 0) >= connections) return false;
     if (forced) return true;
-    if (wish.kind === 'lot' ? !this.#lotFits(row, wish) : this.#total(row) >= row.replica.slots * overfull) return false;
+    if (selectionRequest.kind === 'batch' ? !this.#batchFits(row, selectionRequest) : this.#total(row) >= row.replica.slots * overfull)
+      return false;
     if (rule?.engine === undefined || held === undefined || held.running === 0) return true;
     // Others' tasks are taken to be like the ones here.
-    const tokens = held.tokens * (1 + row.others / held.running) + wish.promptTokens + wish.outputTokens;
+    const tokens = held.tokens * (1 + row.others / held.running) + selectionRequest.promptTokens + selectionRequest.outputTokens;
     return tokens < rule.engine.memoryTokens * memoryRatio;
   }
 
   /** Lots leave the reserve free, and take only this front's part of what is there between two words of the others. */
-  #lotFits(row: ReplicaRow, wish: Wish): boolean {
-    const { tables, book } = this.#options;
+  #batchFits(row: ReplicaRow, selectionRequest: SelectionRequest): boolean {
+    const { tables, inFlight } = this.#options;
     const { address, slots } = row.replica;
     // One item runs even while live tasks fill all, in the order of urgency.
-    const reserve = tables().setup?.bounds.liveReserve ?? 0;
-    const most = (this.#lots.get(wish.service) ?? 0) === 0 ? slots : Math.max(1, Math.floor(slots * (1 - reserve)));
+    const reserve = tables().configuration?.bounds.liveReserve ?? 0;
+    const limit = (this.#batches.get(selectionRequest.service) ?? 0) === 0 ? slots : Math.max(1, Math.floor(slots * (1 - reserve)));
     const base = this.#base.get(address) ?? 0;
-    const part = Math.max(1, Math.floor((most - row.others - base) / tables().fronts));
-    return this.#total(row) < most && book.at(address) < base + part;
+    const part = Math.max(1, Math.floor((limit - row.others - base) / tables().fronts));
+    return this.#total(row) < limit && inFlight.at(address) < base + part;
   }
 
-  #take(wish: Wish, forced: boolean): GroupMember | undefined {
-    const row = this.#choose(wish, forced);
-    return row === undefined ? undefined : this.#seat(row, wish);
+  #take(selectionRequest: SelectionRequest, forced: boolean): SelectedReplica | undefined {
+    const row = this.#choose(selectionRequest, forced);
+    return row === undefined ? undefined : this.#select(row, selectionRequest);
   }
 
-  #choose(wish: Wish, forced: boolean): ReplicaRow | undefined {
+  #choose(selectionRequest: SelectionRequest, forced: boolean): ReplicaRow | undefined {
     const now = this.#options.clock.nowMs();
-    const rule = this.#options.tables().setup?.services[wish.service];
-    const rows = this.#rows(wish);
-    const fit = rows.filter((row) => this.#fits(row, wish, rule, forced));
+    const rule = this.#options.tables().configuration?.services[selectionRequest.service];
+    const rows = this.#rows(selectionRequest);
+    const fit = rows.filter((row) => this.#fits(row, selectionRequest, rule, forced));
     const well = fit.filter((row) => {
       const hurt = this.#hurt.get(replicaKey(row.replica));
       return hurt === undefined || (!hurt.trial && hurt.untilMs <= now);
@@ -252,17 +258,22 @@
       const pain = (row: ReplicaRow): number => (this.#hurt.get(replicaKey(row.replica))?.times ?? 0) + this.#weight(row, rule);
       return fit.reduce<ReplicaRow | undefined>((best, row) => (best === undefined || pain(row) < pain(best) ? row : best), undefined);
     }
-    return this.#home(wish, rule, rows, new Set(from)) ?? this.#emptier(from, rule);
+    return this.#home(selectionRequest, rule, rows, new Set(from)) ?? this.#emptier(from, rule);
   }
 
   /** Where the shared parts are kept: the same place by every front, and further down the order only while that is full. */
-  #home(wish: Wish, rule: Service | undefined, rows: readonly ReplicaRow[], from: ReadonlySet<ReplicaRow>): ReplicaRow | undefined {
-    if (rule?.engine === undefined || wish.sharedTokens < rule.engine.memoryTokens * sharedRatio) return undefined;
+  #home(
+    selectionRequest: SelectionRequest,
+    rule: Service | undefined,
+    rows: readonly ReplicaRow[],
+    from: ReadonlySet<ReplicaRow>,
+  ): ReplicaRow | undefined {
+    if (rule?.engine === undefined || selectionRequest.sharedTokens < rule.engine.memoryTokens * sharedRatio) return undefined;
     const mean = rows.reduce((sum, row) => sum + this.#weight(row, rule), 0) / rows.length;
-    const key = textHash(`${wish.model ?? ''} ${wish.shared}`);
+    const key = textHash(`${selectionRequest.model ?? ''} ${selectionRequest.shared}`);
     const order = rows
-      .map((row) => ({ row, place: mixed(key ^ textHash(replicaKey(row.replica))) }))
-      .sort((a, b) => b.place - a.place || (replicaKey(a.row.replica) < replicaKey(b.row.replica) ? -1 : 1));
+      .map((row) => ({ row, position: mixed(key ^ textHash(replicaKey(row.replica))) }))
+      .sort((a, b) => b.position - a.position || (replicaKey(a.row.replica) < replicaKey(b.row.replica) ? -1 : 1));
     return order.find(({ row }) => {
       const weight = this.#weight(row, rule);
       return from.has(row) && weight <= homeRatio && weight <= mean * homeOverMean + homeExtra / row.replica.slots;
@@ -281,29 +292,30 @@
     return weight(second) < weight(first) ? second : first;
   }
 
-  #seat(row: ReplicaRow, wish: Wish): GroupMember {
-    const { book, clock } = this.#options;
-    const { address, life } = row.replica;
+  #select(row: ReplicaRow, selectionRequest: SelectionRequest): SelectedReplica {
+    const { inFlight, clock } = this.#options;
+    const { address, instance } = row.replica;
     const key = replicaKey(row.replica);
     const held = this.#held.get(key) ?? { running: 0, tokens: 0, reading: 0 };
     this.#held.set(key, held);
-    const tokens = wish.promptTokens + wish.outputTokens;
+    const tokens = selectionRequest.promptTokens + selectionRequest.outputTokens;
     held.running += 1;
     held.tokens += tokens;
-    held.reading += wish.promptTokens;
-    book.begin(address, wish.kind);
-    if (wish.kind === 'lot') this.#lots.set(wish.service, (this.#lots.get(wish.service) ?? 0) + 1);
+    held.reading += selectionRequest.promptTokens;
+    inFlight.begin(address, selectionRequest.kind);
+    if (selectionRequest.kind === 'batch')
+      this.#batches.set(selectionRequest.service, (this.#batches.get(selectionRequest.service) ?? 0) + 1);
     const hurt = this.#hurt.get(key);
     if (hurt !== undefined) hurt.trial = true;
     let [reading, left, late] = [true, false, false];
     const read = (): void => {
-      if (reading) held.reading -= wish.promptTokens;
+      if (reading) held.reading -= selectionRequest.promptTokens;
       reading = false;
     };
     return {
       key,
       address,
-      life,
+      instance,
       read,
       overdue: () => {
         if (!late && !left) this.#scores.add(key, true);
@@ -316,8 +328,9 @@
         held.running -= 1;
         held.tokens -= tokens;
         if (held.running === 0) this.#held.delete(key);
-        book.end(address, wish.kind);
-        if (wish.kind === 'lot') this.#lots.set(wish.service, (this.#lots.get(wish.service) ?? 1) - 1);
+        inFlight.end(address, selectionRequest.kind);
+        if (selectionRequest.kind === 'batch')
+          this.#batches.set(selectionRequest.service, (this.#batches.get(selectionRequest.service) ?? 1) - 1);
         this.#learn(key, end);
         if (end === 'well' || ((end === 'hurt' || end === 'poor') && !late)) this.#scores.add(key, end !== 'well');
         const now = clock.nowMs();
@@ -329,7 +342,7 @@
   }
 
   /** A replica that failed is left alone, longer each time, and then tried by one task at a time until one goes well. */
-  #learn(key: string, end: SeatEnd): void {
+  #learn(key: string, end: AttemptOutcome): void {
     const before = this.#hurt.get(key);
     if (end === 'well') {
       this.#poor.delete(key);
@@ -337,15 +350,15 @@
       return;
     }
     if (end === 'poor') this.#poor.set(key, (this.#poor.get(key) ?? 0) + 1);
-    if (end === 'unknown' || (end === 'poor' && (this.#poor.get(key) ?? 0) < mostPoor)) {
+    if (end === 'unknown' || (end === 'poor' && (this.#poor.get(key) ?? 0) < maxPoor)) {
       if (before !== undefined) before.trial = false;
     } else {
       const now = this.#options.clock.nowMs();
       // What was under way when it failed tells of the same failure.
       if (before !== undefined && before.untilMs > now) return;
-      const failureTimeoutMs = this.#options.tables().setup?.bounds.replicaFailureTimeoutMs ?? 0;
+      const failureTimeoutMs = this.#options.tables().configuration?.bounds.replicaFailureTimeoutMs ?? 0;
       const times = (before?.times ?? 0) + 1;
-      const [first, longest] = end === 'full' ? [fullRatio, longestFullRatio] : [hurtRatio, longestRatio];
+      const [first, longest] = end === 'full' ? [fullRatio, maxFullRatio] : [hurtRatio, maxRatio];
       this.#hurt.set(key, { times, untilMs: now + failureTimeoutMs * Math.min(longest, first * 2 ** (times - 1)), trial: false });
       this.#options.counters.add(`replica.${end}`);
     }
@@ -353,7 +366,7 @@
 }
 
 /** More urgent first, live before lots; first come, first served within. */
-function before(one: Wish, other: Wish): boolean {
+function before(one: SelectionRequest, other: SelectionRequest): boolean {
   if (one.kind !== other.kind) return one.kind === 'live';
   if (one.urgency !== other.urgency) return one.urgency < other.urgency;
   return (one.dueAtMs ?? 0) < (other.dueAtMs ?? 0);
--- a/programs/proxy/src/retryBudget.ts
+++ b/programs/proxy/src/selection/retryBudget.ts
@@ -1,10 +1,10 @@
 /** Tries beyond the first may be so large a shard of all tasks, with a few in hand for a quiet front. */
 export class RetryBudget {
-  readonly #most = 10;
+  readonly #limit = 10;
   #left = 10;
 
   task(ratio: number): void {
-    this.#left = Math.min(this.#most, this.#left + ratio);
+    this.#left = Math.min(this.#limit, this.#left + ratio);
   }
 
   take(): boolean {
--- a/programs/proxy/src/room.ts
+++ b/programs/proxy/src/selection/slotPool.ts
@@ -1,35 +1,36 @@
-import type { Address, BranchName, Clock, Counters, ServiceName } from '@pewterlanding/runtime';
-import { replicaKey } from './replicaKey.js';
-import type { ReplicaRow } from './replicaRow.js';
-import type { Tables } from './tables.js';
-import type { UseBook } from './useBook.js';
+import type { Address, QuotaName, ServiceName } from '@pewterlanding/model';
+import type { Clock, Counters } from '@pewterlanding/runtime';
+import { replicaKey } from '../routing/replicaKey.js';
+import type { ReplicaRow } from '../routing/replicaRow.js';
+import type { Tables } from '../routing/tables.js';
+import type { InFlightCounts } from './inFlightCounts.js';
 
-type Kind = 'live' | 'lot';
+type Kind = 'live' | 'batch';
 
 interface Waiting {
-  readonly branch: BranchName;
+  readonly quota: QuotaName;
   readonly kind: Kind;
   readonly without: ReadonlySet<string>;
-  readonly done: (given: Given) => void;
+  readonly done: (granted: Given) => void;
 }
 
 type Given =
   | {
-      readonly t: 'room';
+      readonly kind: 'room';
       readonly address: Address;
-      readonly life: string | undefined;
+      readonly instance: string | undefined;
       /** What tells this replica from others, for `without`. */
       readonly key: string;
       readonly leave: () => void;
     }
-  | { readonly t: 'none' | 'shed' };
+  | { readonly kind: 'none' | 'shed' };
 
-interface RoomOptions {
+interface SlotPoolOptions {
   readonly clock: Clock;
   readonly random: () => number;
   readonly zone: string;
   readonly tables: () => Tables;
-  readonly book: UseBook;
+  readonly inFlight: InFlightCounts;
   readonly counters: Counters;
 }
 
@@ -41,9 +42,9 @@
 const zoneRatio = 0.25;
 
 /** The slots of the replicas as this front uses them, and the bounded line of tasks that wait for one. */
-export class Room {
-  readonly #options: RoomOptions;
-  readonly #lots = new Map<ServiceName, number>();
+export class SlotPool {
+  readonly #options: SlotPoolOptions;
+  readonly #batches = new Map<ServiceName, number>();
   /** What was under way here when others' use was last heard, by replica. */
   readonly #base = new Map<Address, number>();
   readonly #lines = new Map<ServiceName, Waiting[]>();
@@ -51,7 +52,7 @@
   readonly #hurtUntilMs = new Map<Address, number>();
   #waiting = 0;
 
-  constructor(options: RoomOptions) {
+  constructor(options: SlotPoolOptions) {
     this.#options = options;
   }
 
@@ -66,7 +67,7 @@
     return [...names].map((service) => {
       const rows = replicas.get(service) ?? [];
       // Services may share replicas, so what counts is all that is live at their replicas.
-      const running = rows.reduce((sum, { replica }) => sum + this.#options.book.liveAt(replica.address), 0);
+      const running = rows.reduce((sum, { replica }) => sum + this.#options.inFlight.liveAt(replica.address), 0);
       const waiting = (this.#lines.get(service) ?? []).filter((one) => one.kind === 'live').length;
       return { service, running, waiting };
     });
@@ -75,7 +76,7 @@
   /** Waits for a slot; 'none' when the time is over, 'shed' when the line is full and this branch has the most in it. */
   enter(
     service: ServiceName,
-    branch: BranchName,
+    quota: QuotaName,
     kind: Kind,
     waitMs: number,
     without: ReadonlySet<string>,
@@ -88,13 +89,13 @@
       this.#lines.set(service, line);
       let cancel = (): void => undefined;
       const waiting: Waiting = {
-        branch,
+        quota,
         kind,
         without,
-        done: (given) => {
+        done: (granted) => {
           cancel();
           abort.removeEventListener('abort', leave);
-          resolve(given);
+          resolve(granted);
         },
       };
       const leave = (): void => this.#remove(service, waiting, 'none');
@@ -108,18 +109,18 @@
 
   /** When a task that found no room may find some: as long as those before it take at the pace at which slots were given of late. */
   retryAfterMs(service: ServiceName): number {
-    const { setup } = this.#options.tables();
-    const longestMs = setup?.bounds.replicaFailureTimeoutMs ?? 0;
+    const { configuration } = this.#options.tables();
+    const maxMs = configuration?.bounds.replicaFailureTimeoutMs ?? 0;
     const pace = this.#pace.get(service);
     const waiting = (this.#lines.get(service) ?? []).length + 1;
     // Where none was given of late, a replica has to come first.
-    if (pace === undefined) return longestMs;
+    if (pace === undefined) return maxMs;
     const sinceMs = this.#options.clock.nowMs() - pace.lastMs;
-    return Math.min(longestMs, waiting * Math.max(pace.everyMs, sinceMs / paceMemory));
+    return Math.min(maxMs, waiting * Math.max(pace.everyMs, sinceMs / paceMemory));
   }
 
   hurt(address: Address): void {
-    const failureTimeoutMs = this.#options.tables().setup?.bounds.replicaFailureTimeoutMs ?? 0;
+    const failureTimeoutMs = this.#options.tables().configuration?.bounds.replicaFailureTimeoutMs ?? 0;
     this.#hurtUntilMs.set(address, this.#options.clock.nowMs() + failureTimeoutMs * hurtRatio);
   }
 
@@ -131,26 +132,26 @@
   /** Others' use was heard anew. */
   heard(): void {
     this.#base.clear();
-    for (const [address, running] of this.#options.book.all()) this.#base.set(address, running);
+    for (const [address, running] of this.#options.inFlight.all()) this.#base.set(address, running);
   }
 
   /** Gives freed slots to those who wait. Called when a slot is left and when the tables change. */
   wake(): void {
     for (const [service, line] of this.#lines) {
-      let given = true;
-      while (given && line.length > 0) {
-        given = false;
+      let granted = true;
+      while (granted && line.length > 0) {
+        granted = false;
         // A lot with nothing running comes first: that is its floor. Otherwise live tasks do.
-        const lotFirst = (this.#lots.get(service) ?? 0) === 0;
+        const batchFirst = (this.#batches.get(service) ?? 0) === 0;
         const order = [...line].sort(
-          (a, b) => Number(b.kind === (lotFirst ? 'lot' : 'live')) - Number(a.kind === (lotFirst ? 'lot' : 'live')),
+          (a, b) => Number(b.kind === (batchFirst ? 'batch' : 'live')) - Number(a.kind === (batchFirst ? 'batch' : 'live')),
         );
         for (const waiting of order.slice(0, 8)) {
           const room = this.#give(service, waiting.kind, waiting.without);
           if (room === undefined) continue;
           this.#take(service, waiting);
           waiting.done(room);
-          given = true;
+          granted = true;
           break;
         }
       }
@@ -161,19 +162,19 @@
   #give(service: ServiceName, kind: Kind, without: ReadonlySet<string>): Given | undefined {
     const row = this.#choose(service, kind, without);
     if (row === undefined) return undefined;
-    const { address, life } = row.replica;
+    const { address, instance } = row.replica;
     this.#keepPace(service);
-    this.#options.book.begin(address, kind);
-    if (kind === 'lot') this.#lots.set(service, (this.#lots.get(service) ?? 0) + 1);
+    this.#options.inFlight.begin(address, kind);
+    if (kind === 'batch') this.#batches.set(service, (this.#batches.get(service) ?? 0) + 1);
     let left = false;
     const leave = (): void => {
       if (left) return;
       left = true;
-      this.#options.book.end(address, kind);
-      if (kind === 'lot') this.#lots.set(service, (this.#lots.get(service) ?? 1) - 1);
+      this.#options.inFlight.end(address, kind);
+      if (kind === 'batch') this.#batches.set(service, (this.#batches.get(service) ?? 1) - 1);
       this.wake();
     };
-    return { t: 'room', address, life, key: replicaKey(row.replica), leave };
+    return { kind: 'room', address, instance, key: replicaKey(row.replica), leave };
   }
 
   /** A moving average of the time between two slots given. */
@@ -189,22 +190,22 @@
 
   /** Two at random, the emptier of them; one in the own zone counts as emptier. */
   #choose(service: ServiceName, kind: Kind, without: ReadonlySet<string>): ReplicaRow | undefined {
-    const { replicas, setup, fronts } = this.#options.tables();
+    const { replicas, configuration, fronts } = this.#options.tables();
     const now = this.#options.clock.nowMs();
-    const reserve = setup?.bounds.liveReserve ?? 0;
-    const total = (row: ReplicaRow): number => this.#options.book.at(row.replica.address) + row.others;
-    const lotFloor = (this.#lots.get(service) ?? 0) === 0;
-    const most = (row: ReplicaRow): number =>
-      kind === 'lot' && !lotFloor ? Math.floor(row.replica.slots * (1 - reserve)) : row.replica.slots;
+    const reserve = configuration?.bounds.liveReserve ?? 0;
+    const total = (row: ReplicaRow): number => this.#options.inFlight.at(row.replica.address) + row.others;
+    const batchFloorRatio = (this.#batches.get(service) ?? 0) === 0;
+    const limit = (row: ReplicaRow): number =>
+      kind === 'batch' && !batchFloorRatio ? Math.floor(row.replica.slots * (1 - reserve)) : row.replica.slots;
     // Between two words of the others only this front's part of the free slots may be taken, or all would take them all.
     const allowed = (row: ReplicaRow): boolean => {
       const base = this.#base.get(row.replica.address) ?? 0;
       const free = row.replica.slots - row.others - base;
-      return this.#options.book.at(row.replica.address) < base + Math.max(1, Math.floor(free / fronts));
+      return this.#options.inFlight.at(row.replica.address) < base + Math.max(1, Math.floor(free / fronts));
     };
     const fit = (replicas.get(service) ?? []).filter(
       (row) =>
-        total(row) < most(row) &&
+        total(row) < limit(row) &&
         allowed(row) &&
         !without.has(replicaKey(row.replica)) &&
         (this.#hurtUntilMs.get(row.replica.address) ?? 0) <= now,
@@ -221,20 +222,20 @@
 
   /** Over the bound, the branch that has most waiting for its share loses its newest. */
   #shed(): void {
-    const { setup, tree } = this.#options.tables();
-    if (setup === undefined || this.#waiting <= setup.bounds.queue) return;
-    const counts = new Map<BranchName, number>();
+    const { configuration, tree } = this.#options.tables();
+    if (configuration === undefined || this.#waiting <= configuration.bounds.queue) return;
+    const counts = new Map<QuotaName, number>();
     const all = [...this.#lines].flatMap(([service, line]) => line.filter((one) => one.kind === 'live').map((one) => ({ service, one })));
-    for (const { one } of all) counts.set(one.branch, (counts.get(one.branch) ?? 0) + 1);
+    for (const { one } of all) counts.set(one.quota, (counts.get(one.quota) ?? 0) + 1);
     const worst = [...counts].sort((a, b) => b[1] / Math.max(tree.ownShare(b[0]), 1e-9) - a[1] / Math.max(tree.ownShare(a[0]), 1e-9))[0];
-    const victim = all.filter(({ one }) => one.branch === worst?.[0]).at(-1);
+    const victim = all.filter(({ one }) => one.quota === worst?.[0]).at(-1);
     if (victim === undefined) return;
     this.#options.counters.add('room.shed');
     this.#remove(victim.service, victim.one, 'shed');
   }
 
-  #remove(service: ServiceName, waiting: Waiting, why: 'none' | 'shed'): void {
-    if (this.#take(service, waiting)) waiting.done({ t: why });
+  #remove(service: ServiceName, waiting: Waiting, reason: 'none' | 'shed'): void {
+    if (this.#take(service, waiting)) waiting.done({ kind: reason });
   }
 
   /** Out of the line first, and only then refused: what was refused can never run. */
--- a/programs/proxy/src/exchangeServer.ts
+++ b/programs/proxy/src/server/proxyServer.ts
@@ -1,15 +1,16 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
-import type { Counters, Limits } from '@pewterlanding/runtime';
-import { ClientConnection } from './clientConnection.js';
-import type { OpaqueTask } from './opaqueTask.js';
-import type { Exchanges } from './exchanges.js';
-import type { ReturnWriter } from './returnWriter.js';
-import type { Way } from './way.js';
+import type { Limits } from '@pewterlanding/model';
+import type { Counters } from '@pewterlanding/runtime';
+import { ClientConnection } from '../connections/clientConnection.js';
+import type { ProxiedRequest } from '../forwarding/proxiedRequest.js';
+import type { ProxyHandler } from '../forwarding/proxyHandler.js';
+import type { ResponseWriter } from '../forwarding/responseWriter.js';
+import type { RouteMatch } from '../routing/routeMatch.js';
 
-interface ExchangeServerOptions {
-  readonly exchanges: Exchanges;
+interface ProxyServerOptions {
+  readonly proxyHandler: ProxyHandler;
   /** Read at each task: a setup may change them. */
   readonly limits: () => Limits;
   /** Whether a request is for the interface's own paths. */
@@ -17,10 +18,10 @@
   readonly leaving: () => boolean;
   readonly counters: Counters;
   /** Takes tasks whose route is for lots. */
-  readonly lot?: (task: OpaqueTask, way: Way, writer: ReturnWriter, abort: AbortSignal) => Promise<void>;
+  readonly batch?: (task: ProxiedRequest, routeMatch: RouteMatch, writer: ResponseWriter, abort: AbortSignal) => Promise<void>;
 }
 
-interface ExchangeServer {
+interface ProxyServer {
   readonly serverFactory: (own: RequestListener) => Server;
   readonly clientErrorHandler: (error: Error & { readonly code?: string }, socket: Duplex) => void;
 }
@@ -32,8 +33,8 @@
  * The server under an HTTP interface, to be handed to Fastify whole: opaque tasks are read and returned on the bare server,
  * so that neither their paths nor their bodies are parsed, and only what is `own` goes on to Fastify.
  */
-export function exchangeServer(options: ExchangeServerOptions): ExchangeServer {
-  const { exchanges, limits, own, leaving, counters, lot } = options;
+export function proxyServer(options: ProxyServerOptions): ProxyServer {
+  const { proxyHandler, limits, own, leaving, counters, batch } = options;
   const connections = new WeakMap<Duplex, ClientConnection>();
 
   const connectionOf = ({ socket }: IncomingMessage): ClientConnection => {
@@ -58,10 +59,10 @@
     }
     if (!(await connection.turn(exchange))) return;
     const task = { method: request.method ?? 'GET', host, url, headers: request.rawHeaders, body };
-    await exchanges.started(task, signal);
-    const way = lot === undefined ? undefined : exchanges.find(host, url);
-    if (way?.route.kind === 'lot' && lot !== undefined) await lot(task, way, writer, signal);
-    else await exchanges.carry(task, writer, signal);
+    await proxyHandler.started(task, signal);
+    const routeMatch = batch === undefined ? undefined : proxyHandler.find(host, url);
+    if (routeMatch?.route.kind === 'batch' && batch !== undefined) await batch(task, routeMatch, writer, signal);
+    else await proxyHandler.carry(task, writer, signal);
   };
 
   return {
@@ -113,14 +114,14 @@
 }
 
 /** The whole body; undefined when the downstream broke off before its end: then nothing was sent, and nobody waits. */
-function read(request: IncomingMessage, most: number): Promise<Buffer | 'too large' | undefined> {
-  if (Number(request.headers['content-length'] ?? 0) > most) return Promise.resolve('too large');
+function read(request: IncomingMessage, limit: number): Promise<Buffer | 'too large' | undefined> {
+  if (Number(request.headers['content-length'] ?? 0) > limit) return Promise.resolve('too large');
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
-      if (bytes > most) {
+      if (bytes > limit) {
         chunks.length = 0;
         request.pause();
         return resolve('too large');
@@ -136,7 +137,7 @@
   });
 }
 
-function writerOf(response: ServerResponse, leaving: () => boolean): ReturnWriter {
+function writerOf(response: ServerResponse, leaving: () => boolean): ResponseWriter {
   return {
     head: (status, reason, headers) => {
       if (response.headersSent || response.destroyed) return;
--- a/programs/proxy/src/sendReturn.ts
+++ b/programs/proxy/src/server/sendReturn.ts
@@ -1,6 +1,6 @@
 import type { FastifyReply } from 'fastify';
-import type { FrontProxy } from './frontProxy.js';
-import type { LiveTask } from './liveTask.js';
+import type { FrontProxy } from '../frontProxy.js';
+import type { LiveTask } from '../forwarding/liveTask.js';
 import { sendError } from './sendError.js';
 
 const maxUnreadBytes = 1 << 20;
@@ -28,21 +28,21 @@
     // A caller too slow to read is let go rather than held in memory.
     if (raw.writableLength > maxUnreadBytes) raw.destroy();
   };
-  const back = await proxy.forwarder.carry(task, piece, abort.signal);
-  if (back.t === 'streamed' || back.t === 'cut') {
+  const result = await proxy.forwarder.carry(task, piece, abort.signal);
+  if (result.kind === 'streamed' || result.kind === 'cut') {
     if (pieces === 0) {
       reply.hijack();
       raw.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store', 'task-id': task.id });
     }
-    if (back.t === 'streamed') raw.end('event: close\ndata: {}\n\n');
+    if (result.kind === 'streamed') raw.end('event: close\ndata: {}\n\n');
     // A failure is told, and the circuit is broken too: no reader can take it for a clean end.
-    else raw.write(`event: failure\ndata: ${JSON.stringify({ error: back.why })}\n\n`, () => raw.destroy());
+    else raw.write(`event: failure\ndata: ${JSON.stringify({ error: result.reason })}\n\n`, () => raw.destroy());
     return reply;
   }
   void reply.header('task-id', task.id);
-  if (back.t === 'whole')
-    return reply.header('content-type', 'application/json').send(`{"task":${JSON.stringify(task.id)},"output":${back.body}}`);
-  if (back.t === 'refused' && back.retryAfterMs !== undefined)
-    void reply.header('retry-after', String(Math.max(1, Math.ceil(back.retryAfterMs / 1000))));
-  return sendError(reply, back.status, back.why);
+  if (result.kind === 'whole')
+    return reply.header('content-type', 'application/json').send(`{"task":${JSON.stringify(task.id)},"output":${result.body}}`);
+  if (result.kind === 'refused' && result.retryAfterMs !== undefined)
+    void reply.header('retry-after', String(Math.max(1, Math.ceil(result.retryAfterMs / 1000))));
+  return sendError(reply, result.status, result.reason);
 }
--- a/programs/proxy/src/startProxy.ts
+++ b/programs/proxy/src/startProxy.ts
@@ -1,60 +1,73 @@
 import { randomUUID } from 'node:crypto';
-import { Counters, nodeLog, pause, StartupTimeline, SystemClock, TcpWire } from '@pewterlanding/runtime';
-import type { Address, Boot, Clock, Running } from '@pewterlanding/runtime';
+import { Counters, nodeLog, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { BootSettings, Clock, Running } from '@pewterlanding/runtime';
 import { FrontProxy } from './frontProxy.js';
-import type { HeaderWords } from './headerWords.js';
-import { HttpReplicaWire } from './httpReplicaWire.js';
-import { ownWords } from './ownWords.js';
+import type { HeaderNames } from './forwarding/headerNames.js';
+import { HttpReplicaTransport } from './forwarding/httpReplicaTransport.js';
+import { defaultHeaderNames } from './forwarding/defaultHeaderNames.js';
 
 /** Of the grace: what runs of lots is broken off so long before its end. */
 const haltRatio = 0.1;
 
 interface StartProxyOptions {
-  readonly boot: Boot;
+  readonly bootSettings: BootSettings;
   readonly http: Address;
   /** The agent's address. */
   readonly beside: Address;
   /** The names of headers on opaque tasks; left out, the product's own. */
-  readonly words?: HeaderWords;
+  readonly headerNames?: HeaderNames;
   /** What callers reach; listens, and returns how to end it. */
   readonly serve: (parts: {
-    readonly boot: Boot;
+    readonly bootSettings: BootSettings;
     readonly proxy: FrontProxy;
-    readonly life: string;
+    readonly instance: string;
     readonly clock: Clock;
     readonly counters: Counters;
   }) => Promise<() => Promise<void>>;
 }
 
 /** A proxy put together and listening. */
-export async function startProxy({ boot, http, beside, words = ownWords, serve }: StartProxyOptions): Promise<Running> {
+export async function startProxy({
+  bootSettings,
+  http,
+  beside,
+  headerNames = defaultHeaderNames,
+  serve,
+}: StartProxyOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
-  const log = nodeLog(`${boot.name}/proxy`, boot.logLevel);
+  const log = nodeLog(`${bootSettings.name}/proxy`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const wire = new TcpWire({ here: boot.advertise ?? boot.listen, listen: boot.listen, fleet: boot.fleet, clock, counters });
-  const replicas = new HttpReplicaWire(clock);
-  const life = randomUUID();
+  const transport = new TcpTransport({
+    here: bootSettings.advertise ?? bootSettings.listen,
+    listen: bootSettings.listen,
+    fleet: bootSettings.fleet,
+    clock,
+    counters,
+  });
+  const replicas = new HttpReplicaTransport(clock);
+  const instance = randomUUID();
   const proxy = new FrontProxy({
-    front: boot.name,
-    life,
-    zone: boot.zone,
+    front: bootSettings.name,
+    instance,
+    zone: bootSettings.zone,
     agent: beside,
-    seeds: boot.seeds,
+    seeds: bootSettings.seeds,
     clock,
-    wire,
+    transport,
     replicas,
-    words,
+    headerNames,
     random: Math.random,
-    heartbeatMs: boot.heartbeatMs,
-    failureTimeoutMs: boot.failureTimeoutMs,
+    heartbeatMs: bootSettings.heartbeatMs,
+    failureTimeoutMs: bootSettings.failureTimeoutMs,
     counters,
     log,
     timeline,
   });
-  await wire.listen();
-  const end = await serve({ boot, proxy, life, clock, counters });
+  await transport.listen();
+  const end = await serve({ bootSettings, proxy, instance, clock, counters });
   log.info(`callers at ${http}`);
   timeline.reach('listening');
   return {
@@ -71,7 +84,7 @@
       proxy.finish();
       await replicas.close();
       await end();
-      wire.close();
+      transport.close();
     },
   };
 }
--- a/programs/proxy/src/streamReader.ts
+++ b/programs/proxy/src/streaming/streamReader.ts
@@ -1,6 +1,6 @@
 import { createParser } from 'eventsource-parser';
-import type { ReplicaTask } from './replicaTask.js';
-import type { RunEnd } from './runEnd.js';
+import type { ReplicaTask } from '../forwarding/replicaTask.js';
+import type { RunEnd } from '../forwarding/runEnd.js';
 
 /** Reads the events of a streamed return of an inspected task: numbered from 0 without a gap, then a close. */
 export class StreamReader {
@@ -31,7 +31,7 @@
 
   end(): RunEnd {
     const { bytes } = this;
-    return this.#closed ? { t: 'done', body: '', bytes } : { t: 'broken', why: 'the stream ended without its close', bytes };
+    return this.#closed ? { kind: 'done', body: '', bytes } : { kind: 'broken', reason: 'the stream ended without its close', bytes };
   }
 
   #read(event: string | undefined, id: string | undefined, data: string, piece: (data: string) => void): void {
--- a/programs/proxy/src/wholeReader.ts
+++ b/programs/proxy/src/streaming/wholeReader.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import type { ReplicaTask } from './replicaTask.js';
-import type { RunEnd } from './runEnd.js';
+import type { ReplicaTask } from '../forwarding/replicaTask.js';
+import type { RunEnd } from '../forwarding/runEnd.js';
 
 const WholeReturn = v.object({ task: v.string(), output: v.unknown() });
 
@@ -26,8 +26,8 @@
     const { bytes } = this;
     const text = Buffer.concat(this.#chunks).toString('utf8');
     const read = v.safeParse(v.pipe(v.string(), v.parseJson(), WholeReturn), text);
-    if (!read.success) return { t: 'broken', why: 'the return cannot be read', bytes };
-    if (read.output.task !== this.#task.id) return { t: 'broken', why: 'the return is for another task', bytes };
-    return { t: 'done', body: JSON.stringify(read.output.output), bytes };
+    if (!read.success) return { kind: 'broken', reason: 'the return cannot be read', bytes };
+    if (read.output.task !== this.#task.id) return { kind: 'broken', reason: 'the return is for another task', bytes };
+    return { kind: 'done', body: JSON.stringify(read.output.output), bytes };
   }
 }
--- a/programs/proxy/src/firstNews.ts
+++ b/programs/proxy/src/updates/initialUpdate.ts
@@ -1,18 +1,20 @@
 import { membershipCalls } from '@pewterlanding/membership';
-import type { Board, News } from '@pewterlanding/membership';
-import { every, hashOf } from '@pewterlanding/runtime';
-import type { Address, Clock, Counters, NodeName, Wire } from '@pewterlanding/runtime';
+import type { StateTable, Update } from '@pewterlanding/membership';
+import { hashOf } from '@pewterlanding/model';
+import { every } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Clock, Counters, Transport } from '@pewterlanding/runtime';
 
-interface FirstNewsOptions {
+interface InitialUpdateOptions {
   readonly front: NodeName;
-  readonly wire: Wire;
+  readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
   /** Controllers, of which some may be down. */
   readonly seeds: readonly Address[];
-  readonly board: Board;
+  readonly stateTable: StateTable;
   readonly heartbeatMs: number;
-  readonly take: (news: readonly News[]) => void;
+  readonly take: (updates: readonly Update[]) => void;
 }
 
 /** So often into a heartbeat a controller is asked; while all start together, the first ones know nothing yet. */
@@ -25,15 +27,15 @@
  * up last: waiting for it doubles the time until the front can serve. The words that come this way are those that the agent
  * would bring: news, of which only the newest stands, from the board of any node.
  */
-export class FirstNews {
-  readonly #options: FirstNewsOptions;
+export class InitialUpdate {
+  readonly #options: InitialUpdateOptions;
   readonly #stops: readonly (() => void)[];
   /** Those that have not answered yet: a machine without power says nothing, and the others must not wait behind it. */
   readonly #pending = new Set<Address>();
   #asked: number;
   #over = false;
 
-  constructor(options: FirstNewsOptions) {
+  constructor(options: InitialUpdateOptions) {
     this.#options = options;
     const { clock, heartbeatMs, front } = options;
     // Fronts that start together begin at different controllers.
@@ -52,16 +54,16 @@
   }
 
   async #ask(): Promise<void> {
-    const { wire, counters, board, heartbeatMs, seeds, take } = this.#options;
+    const { transport, counters, stateTable, heartbeatMs, seeds, take } = this.#options;
     const seed = seeds[this.#asked % seeds.length];
     this.#asked += 1;
     if (this.#over || seed === undefined || this.#pending.has(seed)) return;
     this.#pending.add(seed);
     try {
-      const { differing } = await wire.ask(seed, membershipCalls.digest, { digest: [...board.digest] }, heartbeatMs);
+      const { differing } = await transport.ask(seed, membershipCalls.digest, { digest: [...stateTable.digest] }, heartbeatMs);
       if (differing.length === 0 || this.#over) return;
-      const asked = { from: wire.here, buckets: differing, versions: board.versions(differing) };
-      const { newer } = await wire.ask(seed, membershipCalls.compare, asked, heartbeatMs);
+      const asked = { from: transport.here, buckets: differing, versions: stateTable.versions(differing) };
+      const { newer } = await transport.ask(seed, membershipCalls.compare, asked, heartbeatMs);
       if (this.#over) return;
       counters.add('proxy.firstNews');
       take(newer);
--- a/programs/proxy/test/failureScores.test.ts
+++ b/programs/proxy/test/failureScores.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { FailureScores } from '../src/failureScores.js';
+import { FailureScores } from '../src/selection/failureScores.js';
 import { TestClock } from './testClock.js';
 
 const timeoutMs = 5000;
--- a/programs/proxy/test/httpReplicaWire.test.ts
+++ b/programs/proxy/test/httpReplicaTransport.test.ts
@@ -5,8 +5,9 @@
 import { after, before, describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Address, Service, ServiceName, SystemClock, TaskId } from '@pewterlanding/runtime';
-import { HttpReplicaWire } from '../src/httpReplicaWire.js';
+import { Address, Service, ServiceName, TaskId } from '@pewterlanding/model';
+import { SystemClock } from '@pewterlanding/runtime';
+import { HttpReplicaTransport } from '../src/forwarding/httpReplicaTransport.js';
 
 type Answer = (reply: ServerResponse, id: string) => void;
 
@@ -20,7 +21,7 @@
 
 describe('the wire of inspected tasks', () => {
   let carried: Socket | undefined;
-  const wire = new HttpReplicaWire(new SystemClock());
+  const transport = new HttpReplicaTransport(new SystemClock());
   let server: Server;
   let address: Address;
   let tasks = 0;
@@ -36,17 +37,17 @@
     address = v.parse(Address, `127.0.0.1:${at !== null && typeof at === 'object' ? at.port : 0}`);
   });
   after(async () => {
-    await wire.close();
+    await transport.close();
     server.closeAllConnections();
     server.close();
   });
 
-  const rule = v.parse(Service, { kind: 'whole', repeatable: false, replicas: { maxSlots: 4 } });
+  const rule = v.parse(Service, { kind: 'whole', idempotent: false, replicas: { maxSlots: 4 } });
   const run = async (how: string) => {
     tasks += 1;
     const task = { id: v.parse(TaskId, `${how}${tasks}`), service: v.parse(ServiceName, 's'), rule, address, input: '{}' };
-    const end = await wire.run(task, () => undefined, new AbortController().signal);
-    return end.t === 'status' ? end.status : end.t;
+    const end = await transport.run(task, () => undefined, new AbortController().signal);
+    return end.kind === 'status' ? end.status : end.kind;
   };
 
   it('takes neither a return nor a refusal for another task as its own, and ends the connection of each', async () => {
--- a/programs/proxy/test/itemWire.property.test.ts
+++ b/programs/proxy/test/itemTransport.property.test.ts
@@ -3,9 +3,9 @@
 import { expect } from 'earl';
 import fc from 'fast-check';
 import * as v from 'valibot';
-import { Address } from '@pewterlanding/runtime';
-import { PooledItemWire, ConnectionPool, ownWords } from '../src/index.js';
-import type { ItemEnd } from '../src/itemEnd.js';
+import { Address } from '@pewterlanding/model';
+import { PooledItemTransport, ConnectionPool, defaultHeaderNames } from '../src/index.js';
+import type { ItemEnd } from '../src/batch-runner/itemEnd.js';
 import type { Behaviour } from './behaviour.js';
 import { Ledger } from './ledger.js';
 import { ScriptedConnection } from './scriptedConnection.js';
@@ -31,21 +31,21 @@
   readonly #ledger = new Ledger();
   readonly #connections: ScriptedConnection[] = [];
   readonly #pool: ConnectionPool;
-  readonly #wire: PooledItemWire;
+  readonly #transport: PooledItemTransport;
 
   constructor(script: readonly Behaviour[]) {
     let at = 0;
     this.#pool = new ConnectionPool({
       connectMs: 1000,
       idleMs: 60_000,
-      idHeader: ownWords.task,
+      idHeader: defaultHeaderNames.task,
       connect: (_options, done) => {
         const connection = new ScriptedConnection(() => script[at++] ?? 'answer', this.#ledger);
         this.#connections.push(connection);
         process.nextTick(() => done(null, connection));
       },
     });
-    this.#wire = new PooledItemWire({ clock: this.#clock, connections: this.#pool, words: ownWords });
+    this.#transport = new PooledItemTransport({ clock: this.#clock, connections: this.#pool, headerNames: defaultHeaderNames });
   }
 
   /** Leaves so many steps of the replica, a surplus response among them, for the time of the next attempt. */
@@ -54,18 +54,18 @@
     const [readBefore, ranBefore] = [read.get(id) ?? 0, ran.get(id) ?? 0];
     const data: string[] = [];
     let end: ItemEnd | undefined;
-    const headers = { host: 'a.example', [ownWords.task]: id, 'content-length': '2' };
+    const headers = { host: 'a.example', [defaultHeaderNames.task]: id, 'content-length': '2' };
     const attempt = {
       key: address,
       address,
-      life: undefined,
+      instance: undefined,
       task: id,
       method: 'POST' as const,
       path: '/i/',
       headers,
       body: Buffer.from('hi'),
     };
-    const ended = this.#wire
+    const ended = this.#transport
       .run({ ...attempt, expiryMs: 5000, failureTimeoutMs: 1000 }, (_id, text) => data.push(text), new AbortController().signal)
       .then((one) => (end = one));
     for (let turn = 0; turn < 50 && end === undefined; turn += 1) {
@@ -121,9 +121,9 @@
           expect(read <= 1).toEqual(true);
           // Not one event of another run, not even of the same item.
           expect(data.every((text) => text === `${id}#${run}`)).toEqual(true);
-          if (end.t === 'done') expect([read, ran, data.length]).toEqual([1, 1, 3]);
-          if (end.t === 'notRun') expect([read, ran]).toEqual([1, 0]);
-          if (end.t === 'unsent') expect(read).toEqual(0);
+          if (end.kind === 'done') expect([read, ran, data.length]).toEqual([1, 1, 3]);
+          if (end.kind === 'notRun') expect([read, ran]).toEqual([1, 0]);
+          if (end.kind === 'unsent') expect(read).toEqual(0);
         }
         await played.close();
       }),
--- a/programs/proxy/test/pooledItemWire.test.ts
+++ b/programs/proxy/test/pooledItemTransport.test.ts
@@ -3,8 +3,9 @@
 import { after, before, describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Address, SystemClock } from '@pewterlanding/runtime';
-import { PooledItemWire, ConnectionPool, EventText, ownWords } from '../src/index.js';
+import { Address } from '@pewterlanding/model';
+import { SystemClock } from '@pewterlanding/runtime';
+import { PooledItemTransport, ConnectionPool, EventText, defaultHeaderNames } from '../src/index.js';
 
 const good = { seal: 's', 'content-type': 'text/event-stream' };
 const echo = (task: IncomingMessage): { 'task-id': string } => ({ 'task-id': String(task.headers['task-id']) });
@@ -14,43 +15,43 @@
     .map((line) => `data: ${line}\n`)
     .join('')}\n`;
 
-type Answer = (back: ServerResponse, task: IncomingMessage) => void;
+type Answer = (response: ServerResponse, task: IncomingMessage) => void;
 
 const answers: Record<string, Answer> = {
-  '/whole': (back, task) => {
-    back.writeHead(200, { ...good, ...echo(task) });
-    back.write(event(3, 'a'));
-    back.end(`weight-versions: 2\n${event(4, 'b\nc')}`);
+  '/whole': (response, task) => {
+    response.writeHead(200, { ...good, ...echo(task) });
+    response.write(event(3, 'a'));
+    response.end(`weight-versions: 2\n${event(4, 'b\nc')}`);
   },
-  '/cut': (back, task) => {
-    back.writeHead(200, { ...good, ...echo(task) });
-    back.write(event(3, 'a'), () => back.destroy());
+  '/cut': (response, task) => {
+    response.writeHead(200, { ...good, ...echo(task) });
+    response.write(event(3, 'a'), () => response.destroy());
   },
-  '/echo': (back, task) => {
+  '/echo': (response, task) => {
     const chunks: Buffer[] = [];
     task.on('data', (chunk: Buffer) => chunks.push(chunk));
     task.on('end', () => {
-      back.writeHead(200, { ...good, ...echo(task) });
-      back.end(event(1, `${task.method} ${task.headers.host} ${Buffer.concat(chunks).toString('hex')}`));
+      response.writeHead(200, { ...good, ...echo(task) });
+      response.end(event(1, `${task.method} ${task.headers.host} ${Buffer.concat(chunks).toString('hex')}`));
     });
   },
-  '/other': (back) => back.writeHead(200, { ...good, 'task-id': 'another' }).end(event(3, 'a')),
-  '/sealless': (back, task) => back.writeHead(200, echo(task)).end(event(3, 'a')),
-  '/full': (back, task) => back.writeHead(503, { ...echo(task), 'not-run': '1' }).end(),
-  '/anotherLife': (back, task) => back.writeHead(421, { ...echo(task), 'not-run': '1' }).end(),
-  '/wordless': (back, task) => back.writeHead(421, echo(task)).end(),
-  '/failed': (back, task) => back.writeHead(500, echo(task)).end('no'),
-  '/never': (back, task) => back.writeHead(422, echo(task)).end(),
+  '/other': (response) => response.writeHead(200, { ...good, 'task-id': 'another' }).end(event(3, 'a')),
+  '/sealless': (response, task) => response.writeHead(200, echo(task)).end(event(3, 'a')),
+  '/full': (response, task) => response.writeHead(503, { ...echo(task), 'not-run': '1' }).end(),
+  '/anotherLife': (response, task) => response.writeHead(421, { ...echo(task), 'not-run': '1' }).end(),
+  '/wordless': (response, task) => response.writeHead(421, echo(task)).end(),
+  '/failed': (response, task) => response.writeHead(500, echo(task)).end('no'),
+  '/never': (response, task) => response.writeHead(422, echo(task)).end(),
 };
 
 describe('the wire of opaque items', () => {
   let server: Server;
   let address: Address;
-  const connections = new ConnectionPool({ connectMs: 1000, idleMs: 4000, idHeader: ownWords.task });
-  const wire = new PooledItemWire({ clock: new SystemClock(), connections, words: ownWords });
+  const connections = new ConnectionPool({ connectMs: 1000, idleMs: 4000, idHeader: defaultHeaderNames.task });
+  const transport = new PooledItemTransport({ clock: new SystemClock(), connections, headerNames: defaultHeaderNames });
 
   before(async () => {
-    server = createServer((task, back) => answers[task.url ?? '']?.(back, task));
+    server = createServer((task, response) => answers[task.url ?? '']?.(response, task));
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const at = server.address();
     address = v.parse(Address, `127.0.0.1:${at !== null && typeof at === 'object' ? at.port : 0}`);
@@ -68,19 +69,19 @@
     const attempt = {
       key: to,
       address: to,
-      life: undefined,
+      instance: undefined,
       task,
       method: 'POST' as const,
       path,
       headers,
       body: new Uint8Array([1, 255]),
     };
-    const end = await wire.run(
+    const end = await transport.run(
       { ...attempt, expiryMs: 5000, failureTimeoutMs: 5000 },
       (id, data) => text.add(id, data),
       new AbortController().signal,
     );
-    return [end.t === 'status' ? end.status : end.t, text.text, text.last];
+    return [end.kind === 'status' ? end.status : end.kind, text.text, text.last];
   };
 
   it('takes a return as whole only with its seal, for its task, and read to its end', async () => {
--- a/programs/proxy/test/exchanges.property.test.ts
+++ b/programs/proxy/test/proxyHandler.property.test.ts
@@ -3,9 +3,10 @@
 import { expect } from 'earl';
 import fc from 'fast-check';
 import * as v from 'valibot';
-import { Counters, NodeName, Setup } from '@pewterlanding/runtime';
-import { Choice, ConnectionPool, NewsDesk, ownWords, Exchanges, UseBook } from '../src/index.js';
-import type { ReturnWriter } from '../src/returnWriter.js';
+import { NodeName, Configuration } from '@pewterlanding/model';
+import { Counters } from '@pewterlanding/runtime';
+import { ReplicaSelector, ConnectionPool, RoutingState, defaultHeaderNames, ProxyHandler, InFlightCounts } from '../src/index.js';
+import type { ResponseWriter } from '../src/forwarding/responseWriter.js';
 import type { Behaviour } from './behaviour.js';
 import { Ledger } from './ledger.js';
 import { ScriptedConnection } from './scriptedConnection.js';
@@ -16,18 +17,18 @@
 const replicas = 3;
 const deadlineMs = 4000;
 const routes = {
-  whole: { host: 'a.example', prefix: '/w/', kind: 'whole', repeatable: false, tries: 2, services: [{ service: 's', gain: 1 }] },
-  again: { host: 'a.example', prefix: '/r/', kind: 'whole', repeatable: true, tries: 2, services: [{ service: 's', gain: 1 }] },
-  stream: { host: 'a.example', prefix: '/s/', kind: 'streamed', tries: 2, services: [{ service: 's', gain: 1 }] },
-  resume: { host: 'a.example', prefix: '/c/', kind: 'streamed', resumable: true, tries: 3, services: [{ service: 's', gain: 1 }] },
+  whole: { host: 'a.example', prefix: '/w/', kind: 'whole', idempotent: false, attempts: 2, services: [{ service: 's', weight: 1 }] },
+  again: { host: 'a.example', prefix: '/r/', kind: 'whole', idempotent: true, attempts: 2, services: [{ service: 's', weight: 1 }] },
+  stream: { host: 'a.example', prefix: '/s/', kind: 'streamed', attempts: 2, services: [{ service: 's', weight: 1 }] },
+  resume: { host: 'a.example', prefix: '/c/', kind: 'streamed', resumable: true, attempts: 3, services: [{ service: 's', weight: 1 }] },
 };
-const tries = { w: 2, r: 2, s: 2, c: 3 };
+const attempts = { w: 2, r: 2, s: 2, c: 3 };
 /** Statuses that promise that the request did not run and never will. */
 const promises = new Set([408, 421, 429, 503]);
 
 interface Client {
   readonly id: string;
-  readonly route: keyof typeof tries;
+  readonly route: keyof typeof attempts;
   readonly abort: AbortController;
   readonly heads: number[];
   readonly seals: string[];
@@ -38,7 +39,7 @@
 }
 
 type Step =
-  | { readonly kind: 'request'; readonly route: keyof typeof tries }
+  | { readonly kind: 'request'; readonly route: keyof typeof attempts }
   | { readonly kind: 'replica'; readonly pick: number }
   | { readonly kind: 'time' }
   | { readonly kind: 'leave'; readonly pick: number }
@@ -53,7 +54,7 @@
   readonly #connections: ScriptedConnection[] = [];
   readonly #waiting: (() => void)[] = [];
   readonly #pool: ConnectionPool;
-  readonly #exchanges: Exchanges;
+  readonly #proxyHandler: ProxyHandler;
   readonly #slowReaders: boolean;
 
   constructor(script: readonly Behaviour[], slowReaders: boolean) {
@@ -61,35 +62,42 @@
     let at = 0;
     const next = (): Behaviour => script[at++] ?? 'answer';
     const { clock, counters } = this;
-    const desk = new NewsDesk({ front: v.parse(NodeName, 'front-1'), life: 'l', clock });
-    const setup = v.parse(Setup, {
-      services: { s: { kind: 'whole', repeatable: false, replicas: { maxSlots: 16 }, circuits: 64 } },
-      branches: {},
+    const routingState = new RoutingState({ front: v.parse(NodeName, 'front-1'), instance: 'l', clock });
+    const configuration = v.parse(Configuration, {
+      services: { s: { kind: 'whole', idempotent: false, replicas: { maxSlots: 16 }, connections: 64 } },
+      quotas: {},
       routes,
       joining: true,
     });
-    desk.take([
-      { key: 'setup', version: [1, 0], volatile: false, value: { version: 1, setup } },
+    routingState.take([
+      { key: 'setup', version: [1, 0], volatile: false, value: { version: 1, configuration } },
       ...Array.from({ length: replicas }, (_, number) => ({
         key: `replica/s/life-${number}`,
         version: [1, 0] satisfies [number, number],
         volatile: false,
-        value: { service: 's', address: `127.0.0.1:${number + 1}`, slots: 4, incarnation: 1, life: `life-${number}`, state: 'serving' },
+        value: { service: 's', address: `127.0.0.1:${number + 1}`, slots: 4, incarnation: 1, instance: `life-${number}`, state: 'serving' },
       })),
     ]);
     this.#pool = new ConnectionPool({
       connectMs: 1000,
       idleMs: 60_000,
-      idHeader: ownWords.task,
+      idHeader: defaultHeaderNames.task,
       connect: (_options, done) => {
         const connection = new ScriptedConnection(next, this.ledger);
         this.#connections.push(connection);
         process.nextTick(() => done(null, connection));
       },
     });
-    const tables = () => desk.tables;
-    const choice = new Choice({ clock, random: () => 0.4, zone: 'z', tables, book: new UseBook(), counters });
-    this.#exchanges = new Exchanges({ clock, desk, choice, connections: this.#pool, words: ownWords, counters });
+    const tables = () => routingState.tables;
+    const selector = new ReplicaSelector({ clock, random: () => 0.4, zone: 'z', tables, inFlight: new InFlightCounts(), counters });
+    this.#proxyHandler = new ProxyHandler({
+      clock,
+      routingState,
+      selector,
+      connections: this.#pool,
+      headerNames: defaultHeaderNames,
+      counters,
+    });
   }
 
   async play(steps: readonly Step[]): Promise<void> {
@@ -108,7 +116,7 @@
   }
 
   get running(): number {
-    return this.#exchanges.running;
+    return this.#proxyHandler.running;
   }
 
   async settle(): Promise<void> {
@@ -142,14 +150,14 @@
     return run !== undefined;
   }
 
-  #request(route: keyof typeof tries): void {
+  #request(route: keyof typeof attempts): void {
     const id = `${route}-${this.clients.length}`;
     const client: Client = { id, route, abort: new AbortController(), heads: [], seals: [], body: '', ends: 0, left: false, done: false };
     this.clients.push(client);
-    const writer: ReturnWriter = {
+    const writer: ResponseWriter = {
       head: (status, _reason, headers) => {
         client.heads.push(status);
-        const at = headers.findIndex((name, place) => place % 2 === 0 && name === 'seal');
+        const at = headers.findIndex((name, position) => position % 2 === 0 && name === 'seal');
         if (at >= 0) client.seals.push(headers[at + 1] ?? '');
       },
       write: (chunk) => {
@@ -163,9 +171,18 @@
       },
       destroy: () => (client.ends += 1),
     };
-    const headers = ['host', 'a.example', ownWords.task, id, ownWords.expiryMs, String(deadlineMs), 'content-length', '2'];
+    const headers = [
+      'host',
+      'a.example',
+      defaultHeaderNames.task,
+      id,
+      defaultHeaderNames.expiryMs,
+      String(deadlineMs),
+      'content-length',
+      '2',
+    ];
     const task = { method: 'POST', host: 'a.example', url: `/${route}/`, headers, body: Buffer.from('hi') };
-    void this.#exchanges.carry(task, writer, client.abort.signal).then(() => (client.done = true));
+    void this.#proxyHandler.carry(task, writer, client.abort.signal).then(() => (client.done = true));
   }
 }
 
@@ -190,7 +207,7 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 4,
-    arbitrary: fc.constantFrom<(keyof typeof tries)[]>('w', 'r', 's', 'c').map((route) => ({ kind: 'request' as const, route })),
+    arbitrary: fc.constantFrom<(keyof typeof attempts)[]>('w', 'r', 's', 'c').map((route) => ({ kind: 'request' as const, route })),
   },
   { weight: 8, arbitrary: pick.map((one) => ({ kind: 'replica' as const, pick: one })) },
   { weight: 1, arbitrary: fc.constant({ kind: 'time' as const }) },
@@ -221,7 +238,7 @@
     }
     if (route === 'w' || route === 's') expect(ran <= 1).toEqual(true);
     if (promises.has(status)) expect(ran).toEqual(0);
-    expect((played.ledger.read.get(id) ?? 0) <= tries[route]).toEqual(true);
+    expect((played.ledger.read.get(id) ?? 0) <= attempts[route]).toEqual(true);
   }
   // The budget's first allowance, and its share of all requests.
   const { 'exchange.silent': silent = 0 } = played.counters.all();
@@ -230,7 +247,7 @@
 }
 
 describe('a replica that is silent', () => {
-  const played = async (route: keyof typeof tries, script: readonly Behaviour[], steps: readonly Step[]) => {
+  const played = async (route: keyof typeof attempts, script: readonly Behaviour[], steps: readonly Step[]) => {
     const one = new Played(script, false);
     await one.play([{ kind: 'request', route }, ...steps]);
     return one;
--- a/programs/proxy/test/exchanges.test.ts
+++ b/programs/proxy/test/proxyHandler.test.ts
@@ -4,35 +4,35 @@
 import { TestFront } from './testFront.js';
 
 const idOf = (head: string): string => /task-id: (\S+)/i.exec(head)?.[1] ?? '';
-const lifeOf = (head: string): string => /expect-life: (\S+)/i.exec(head)?.[1] ?? '';
+const instanceOf = (head: string): string => /expect-life: (\S+)/i.exec(head)?.[1] ?? '';
 const answer = (head: string, status: string, headers: string, body: string, id = idOf(head)): string =>
   `HTTP/1.1 ${status}\r\ntask-id: ${id}\r\n${headers}content-length: ${body.length}\r\n\r\n${body}`;
 const chunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
 const streamHead = (head: string): string =>
   `HTTP/1.1 200 OK\r\ntask-id: ${idOf(head)}\r\nseal: first\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n`;
 const event = (id: number): string => `id: ${id}\ndata: e${id}\n\n`;
-const bodyOf = (back: string): string => back.slice(back.indexOf('\r\n\r\n') + 4);
-const statusOf = (back: string): string => back.slice(9, 12);
+const bodyOf = (response: string): string => response.slice(response.indexOf('\r\n\r\n') + 4);
+const statusOf = (response: string): string => response.slice(9, 12);
 
 describe('opaque tasks', () => {
   it('are sent unchanged to a named life, and its return comes back unchanged', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 Fine', 'seal: x\r\nX-Own: 1\r\n', 'body')));
-    const back = await front.send('/w/q?a=%zz', 't1', 'X-Mine: 2\r\n');
+    const response = await front.send('/w/q?a=%zz', 't1', 'X-Mine: 2\r\n');
     const [head = ''] = front.standIns[0]?.heads ?? [];
     expect(head.startsWith('POST /w/q?a=%zz HTTP/1.1\r\n')).toEqual(true);
     for (const line of ['host: A.example:80', 'X-Mine: 2', 'expect-life: life-0', 'urgency: 5', 'content-length: 2'])
       expect(head.includes(line)).toEqual(true);
-    expect(back.startsWith('HTTP/1.1 200 Fine\r\n') && back.includes('seal: x\r\nX-Own: 1\r\n')).toEqual(true);
-    expect(bodyOf(back)).toEqual('body');
+    expect(response.startsWith('HTTP/1.1 200 Fine\r\n') && response.includes('seal: x\r\nX-Own: 1\r\n')).toEqual(true);
+    expect(bodyOf(response)).toEqual('body');
     expect(statusOf(await front.send('/none/', 't2'))).toEqual('404');
     await front.close();
   });
 
   it('never pass on the return of another task, and destroy its connection', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'other', 'another')));
-    const back = await front.send('/w/', 't1');
-    expect(statusOf(back)).toEqual('502');
-    expect(back.includes('other')).toEqual(false);
+    const response = await front.send('/w/', 't1');
+    expect(statusOf(response)).toEqual('502');
+    expect(response.includes('other')).toEqual(false);
     await front.standIns[0]?.closed;
     await front.close();
   });
@@ -57,9 +57,9 @@
     const full = (socket: { write(text: string): boolean }, head: string): boolean =>
       socket.write(answer(head, '503 Full', 'not-run: 1\r\n', ''));
     const front = await TestFront.open(full, full, full);
-    const back = await front.send('/w/', 't1');
-    expect(statusOf(back)).toEqual('503');
-    expect(/retry-after: 0\.\d+/.test(back)).toEqual(true);
+    const response = await front.send('/w/', 't1');
+    expect(statusOf(response)).toEqual('503');
+    expect(/retry-after: 0\.\d+/.test(response)).toEqual(true);
     expect(front.standIns.reduce((sum, { heads }) => sum + heads.length, 0)).toEqual(2);
     await front.close();
   });
@@ -92,8 +92,8 @@
 
   it('go on after a connect that failed, which sent nothing', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'ok')));
-    const value = { service: 's', address: '127.0.0.1:1', slots: 4, incarnation: 1, life: 'gone', state: 'serving' };
-    front.desk.take([{ key: 'replica/s/gone', version: [1, 0], volatile: false, value }]);
+    const value = { service: 's', address: '127.0.0.1:1', slots: 4, incarnation: 1, instance: 'gone', state: 'serving' };
+    front.routingState.take([{ key: 'replica/s/gone', version: [1, 0], volatile: false, value }]);
     for (const id of ['t1', 't2', 't3']) expect(statusOf(await front.send('/w/', id))).toEqual('200');
     await front.close();
   });
@@ -104,10 +104,10 @@
 
   it('holds what comes until it knows where to send it', async () => {
     const front = await TestFront.starting(60_000, ok);
-    const back = front.send('/w/', 't1');
+    const response = front.send('/w/', 't1');
     while (front.held === 0) await setImmediate();
     front.learn();
-    expect(statusOf(await back)).toEqual('200');
+    expect(statusOf(await response)).toEqual('200');
     expect(front.held).toEqual(0);
     await front.close();
   });
@@ -125,11 +125,11 @@
 
 describe('streams', () => {
   it('go on at another replica after their last event, inside one return with the first head', async () => {
-    const lives: string[] = [];
+    const instances: string[] = [];
     const front = await TestFront.open(
       ...[0, 1].map(
         () => (socket: { write(text: string): boolean; resetAndDestroy(): unknown; end(text: string): unknown }, head: string) => {
-          lives.push(lifeOf(head));
+          instances.push(instanceOf(head));
           const after = /last-event-id: (\d+)/i.exec(head)?.[1];
           if (after === undefined) {
             // Half an event, then the end: only whole ones may be passed on.
@@ -141,11 +141,11 @@
         },
       ),
     );
-    const back = await front.send('/c/', 't1');
-    expect(back.includes('seal: first') && !back.includes('second')).toEqual(true);
-    expect([...back.matchAll(/data: (\w+)/g)].map(([, data]) => data)).toEqual(['e1', 'e2', 'e3', 'e4']);
-    expect(back.endsWith('0\r\n\r\n')).toEqual(true);
-    expect(new Set(lives).size).toEqual(2);
+    const response = await front.send('/c/', 't1');
+    expect(response.includes('seal: first') && !response.includes('second')).toEqual(true);
+    expect([...response.matchAll(/data: (\w+)/g)].map(([, data]) => data)).toEqual(['e1', 'e2', 'e3', 'e4']);
+    expect(response.endsWith('0\r\n\r\n')).toEqual(true);
+    expect(new Set(instances).size).toEqual(2);
     await front.close();
   });
 
@@ -158,25 +158,25 @@
       socket.write(streamHead(head) + chunk(event(2)) + '0\r\n\r\n');
     };
     const front = await TestFront.open(act, act, act);
-    const back = await front.send('/c/', 't1');
-    expect([...back.matchAll(/data: (\w+)/g)].map(([, data]) => data)).toEqual(['e1', 'e2']);
-    expect(back.endsWith('0\r\n\r\n')).toEqual(true);
+    const response = await front.send('/c/', 't1');
+    expect([...response.matchAll(/data: (\w+)/g)].map(([, data]) => data)).toEqual(['e1', 'e2']);
+    expect(response.endsWith('0\r\n\r\n')).toEqual(true);
     expect(front.connections.idle).toEqual(2);
     await front.close();
   });
 
   it('that cannot go on end as visibly broken', async () => {
     const front = await TestFront.open((socket, head) => socket.end(streamHead(head) + chunk(event(1))));
-    const back = await front.send('/s/', 't1');
-    expect(back.includes('data: e1')).toEqual(true);
-    expect(back.endsWith('0\r\n\r\n')).toEqual(false);
+    const response = await front.send('/s/', 't1');
+    expect(response.includes('data: e1')).toEqual(true);
+    expect(response.endsWith('0\r\n\r\n')).toEqual(false);
     await front.close();
   });
 
   it('are broken off where an event comes twice or is missing after a continuation', async () => {
     const twice = await TestFront.open((socket, head) => socket.write(streamHead(head) + chunk(event(1) + event(1)) + '0\r\n\r\n'));
-    const back = await twice.send('/s/', 't1');
-    expect(back.endsWith('0\r\n\r\n')).toEqual(false);
+    const response = await twice.send('/s/', 't1');
+    expect(response.endsWith('0\r\n\r\n')).toEqual(false);
     await twice.close();
     const gap = (socket: { end(text: string): unknown }, head: string): void => {
       const from = /last-event-id: \d+/i.test(head) ? 4 : 1;
--- a/programs/proxy/test/exchangeServer.test.ts
+++ b/programs/proxy/test/proxyServer.test.ts
@@ -5,7 +5,7 @@
 
 const answered = (socket: { write(text: string): boolean }, head: string): boolean =>
   socket.write(`HTTP/1.1 200 OK\r\ntask-id: ${/task-id: (\S+)/i.exec(head)?.[1]}\r\nseal: x\r\ncontent-length: 2\r\n\r\nok`);
-const statusOf = (back: string): string => back.slice(9, 12);
+const statusOf = (response: string): string => response.slice(9, 12);
 
 describe('the server of opaque tasks', () => {
   it('bounds heads and bodies, and nothing that a caller sends ends it', async () => {
@@ -40,7 +40,7 @@
   it('begins a request that was sent behind another one only after that one has its return', async () => {
     const release: (() => void)[] = [];
     const front = await TestFront.open((socket, head) => release.push(() => answered(socket, head)));
-    const back = front.raw(pipelined('/w/', '1') + pipelined('/w/', '2', 'connection: close\r\n'));
+    const response = front.raw(pipelined('/w/', '1') + pipelined('/w/', '2', 'connection: close\r\n'));
     const heads = front.standIns[0]?.heads ?? [];
     for (const nth of [1, 2]) {
       while (heads.length < nth) await setImmediate();
@@ -48,7 +48,7 @@
       expect(heads.length).toEqual(nth);
       release[nth - 1]?.();
     }
-    expect([...(await back).matchAll(/task-id: (\d)/g)].map(([, id]) => id)).toEqual(['1', '2']);
+    expect([...(await response).matchAll(/task-id: (\d)/g)].map(([, id]) => id)).toEqual(['1', '2']);
     await front.close();
   });
 
@@ -65,8 +65,8 @@
 
   it('never takes a refusal of the bytes behind a whole request for its return', async () => {
     const front = await TestFront.open(answered);
-    const back = await front.raw(`${pipelined('/w/', '1')}\u0000\u0001 nothing\r\n\r\n`);
-    expect(back).toEqual('');
+    const response = await front.raw(`${pipelined('/w/', '1')}\u0000\u0001 nothing\r\n\r\n`);
+    expect(response).toEqual('');
     await front.close();
   });
 });
--- a/programs/proxy/test/wayTable.test.ts
+++ b/programs/proxy/test/routeTable.test.ts
@@ -1,29 +1,29 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Setup } from '@pewterlanding/runtime';
-import { EventCutter, WayTable } from '../src/index.js';
+import { Configuration } from '@pewterlanding/model';
+import { EventCutter, RouteTable } from '../src/index.js';
 
-const route = (host: string, prefix: string, services = [{ service: 's', gain: 1 }]) => ({ host, prefix, kind: 'whole', services });
+const route = (host: string, prefix: string, services = [{ service: 's', weight: 1 }]) => ({ host, prefix, kind: 'whole', services });
 
 describe('the table of routes', () => {
-  const ways = new WayTable(
-    v.parse(Setup, {
+  const routeTable = new RouteTable(
+    v.parse(Configuration, {
       services: {},
-      branches: {},
+      quotas: {},
       routes: {
         root: route('a.example', '/'),
         deep: route('a.example', '/x/y/'),
         near: route('a.example', '/x/'),
         only: route('B.example', '/x/', [
-          { service: 'none', gain: 0 },
-          { service: 'few', gain: 1 },
-          { service: 'most', gain: 3 },
+          { service: 'none', weight: 0 },
+          { service: 'few', weight: 1 },
+          { service: 'most', weight: 3 },
         ]),
       },
     }),
   );
-  const nameOf = (host: string, url: string): string | undefined => ways.find(host, url)?.name;
+  const nameOf = (host: string, url: string): string | undefined => routeTable.find(host, url)?.name;
 
   it('finds the longest prefix that begins the path, whatever the case and port of the host', () => {
     expect(nameOf('A.example:8080', '/x/y/z?q=/x/y/w/')).toEqual('deep');
@@ -36,7 +36,7 @@
   });
 
   it('shares tasks by gain', () => {
-    const only = ways.find('b.example', '/x/1');
+    const only = routeTable.find('b.example', '/x/1');
     expect([0, 0.24, 0.26, 0.99].map((draw) => String(only?.service(draw)))).toEqual(['few', 'few', 'most', 'most']);
   });
 });
--- a/programs/proxy/test/testFront.ts
+++ b/programs/proxy/test/testFront.ts
@@ -2,9 +2,18 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect } from 'node:net';
 import * as v from 'valibot';
-import { Counters, Limits, NodeName, Setup, SystemClock } from '@pewterlanding/runtime';
-import type { News } from '@pewterlanding/membership';
-import { Choice, ConnectionPool, NewsDesk, ownWords, Exchanges, exchangeServer, UseBook } from '../src/index.js';
+import { Limits, NodeName, Configuration } from '@pewterlanding/model';
+import { Counters, SystemClock } from '@pewterlanding/runtime';
+import type { Update } from '@pewterlanding/membership';
+import {
+  ReplicaSelector,
+  ConnectionPool,
+  RoutingState,
+  defaultHeaderNames,
+  ProxyHandler,
+  proxyServer,
+  InFlightCounts,
+} from '../src/index.js';
 
 /** What a stand-in replica does with the nth task it gets, on the bare socket. */
 type Act = (socket: Socket, head: string, nth: number) => void;
@@ -17,25 +26,25 @@
 }
 
 const routes = {
-  whole: { host: 'a.example', prefix: '/w/', kind: 'whole', repeatable: false, tries: 2, services: [{ service: 's', gain: 1 }] },
-  again: { host: 'a.example', prefix: '/r/', kind: 'whole', repeatable: true, tries: 2, services: [{ service: 's', gain: 1 }] },
-  stream: { host: 'a.example', prefix: '/s/', kind: 'streamed', tries: 2, services: [{ service: 's', gain: 1 }] },
-  resume: { host: 'a.example', prefix: '/c/', kind: 'streamed', resumable: true, tries: 3, services: [{ service: 's', gain: 1 }] },
+  whole: { host: 'a.example', prefix: '/w/', kind: 'whole', idempotent: false, attempts: 2, services: [{ service: 's', weight: 1 }] },
+  again: { host: 'a.example', prefix: '/r/', kind: 'whole', idempotent: true, attempts: 2, services: [{ service: 's', weight: 1 }] },
+  stream: { host: 'a.example', prefix: '/s/', kind: 'streamed', attempts: 2, services: [{ service: 's', weight: 1 }] },
+  resume: { host: 'a.example', prefix: '/c/', kind: 'streamed', resumable: true, attempts: 3, services: [{ service: 's', weight: 1 }] },
 };
 
 /** One front in this process, with stand-in replicas on this machine: bounded by the tasks that a test sends. */
 export class TestFront {
   readonly counters = new Counters();
-  readonly connections = new ConnectionPool({ connectMs: 1000, idleMs: 4000, idHeader: ownWords.task });
-  readonly desk: NewsDesk;
+  readonly connections = new ConnectionPool({ connectMs: 1000, idleMs: 4000, idHeader: defaultHeaderNames.task });
+  readonly routingState: RoutingState;
   readonly #servers: Server[] = [];
   #port = 0;
-  #exchanges: Exchanges | undefined;
-  #news: readonly News[] = [];
+  #proxyHandler: ProxyHandler | undefined;
+  #updates: readonly Update[] = [];
   #downstream: Socket | undefined;
 
   constructor() {
-    this.desk = new NewsDesk({ front: v.parse(NodeName, 'front-1'), life: 'l', clock: new SystemClock() });
+    this.routingState = new RoutingState({ front: v.parse(NodeName, 'front-1'), instance: 'l', clock: new SystemClock() });
   }
 
   static async open(...replicas: readonly Act[]): Promise<TestFront & { readonly standIns: readonly StandIn[] }> {
@@ -48,30 +57,30 @@
   static async starting(startMs: number, ...replicas: readonly Act[]): Promise<TestFront & { readonly standIns: readonly StandIn[] }> {
     const front = new TestFront();
     const standIns = await Promise.all(replicas.map((act) => front.#standIn(act)));
-    const setup = v.parse(Setup, {
-      services: { s: { kind: 'whole', repeatable: false, replicas: { maxSlots: 16 }, circuits: 64 } },
-      branches: {},
+    const configuration = v.parse(Configuration, {
+      services: { s: { kind: 'whole', idempotent: false, replicas: { maxSlots: 16 }, connections: 64 } },
+      quotas: {},
       routes,
       joining: true,
     });
-    const news: News[] = [{ key: 'setup', version: [1, 0], volatile: false, value: { version: 1, setup } }];
+    const updates: Update[] = [{ key: 'setup', version: [1, 0], volatile: false, value: { version: 1, configuration } }];
     standIns.forEach(({ address }, at) => {
-      const value = { service: 's', address, slots: 4, incarnation: 1, life: `life-${at}`, state: 'serving' };
-      news.push({ key: `replica/s/life-${at}`, version: [1, 0], volatile: false, value });
+      const value = { service: 's', address, slots: 4, incarnation: 1, instance: `life-${at}`, state: 'serving' };
+      updates.push({ key: `replica/s/life-${at}`, version: [1, 0], volatile: false, value });
     });
-    front.#news = news;
+    front.#updates = updates;
     await front.#listen(startMs);
     return Object.assign(front, { standIns });
   }
 
   learn(): void {
-    this.desk.take(this.#news);
-    this.#exchanges?.look();
+    this.routingState.take(this.#updates);
+    this.#proxyHandler?.look();
   }
 
   /** Tasks held until this front has learned. */
   get held(): number {
-    return this.#exchanges?.held ?? 0;
+    return this.#proxyHandler?.held ?? 0;
   }
 
   async close(): Promise<void> {
@@ -127,18 +136,33 @@
   }
 
   async #listen(startMs: number): Promise<void> {
-    const { desk, counters, connections } = this;
+    const { routingState, counters, connections } = this;
     const clock = new SystemClock();
     const random = (): number => 0;
-    const choice = new Choice({ clock, random, zone: 'z', tables: () => desk.tables, book: new UseBook(), counters });
-    const exchanges = new Exchanges({ clock, desk, choice, connections, words: ownWords, counters, startMs });
-    this.#exchanges = exchanges;
-    const { serverFactory, clientErrorHandler } = exchangeServer({
-      exchanges,
+    const selector = new ReplicaSelector({
+      clock,
+      random,
+      zone: 'z',
+      tables: () => routingState.tables,
+      inFlight: new InFlightCounts(),
+      counters,
+    });
+    const proxyHandler = new ProxyHandler({
+      clock,
+      routingState,
+      selector,
+      connections,
+      headerNames: defaultHeaderNames,
+      counters,
+      startMs,
+    });
+    this.#proxyHandler = proxyHandler;
+    const { serverFactory, clientErrorHandler } = proxyServer({
+      proxyHandler,
       counters,
       own: () => false,
       leaving: () => false,
-      limits: () => desk.tables.setup?.limits ?? v.parse(Limits, {}),
+      limits: () => routingState.tables.configuration?.limits ?? v.parse(Limits, {}),
     });
     const server = serverFactory(() => undefined);
     server.on('clientError', clientErrorHandler);
--- a/programs/store/src/lot.ts
+++ b/programs/store/src/batch/batch.ts
@@ -1,14 +1,14 @@
-import type { ItemId } from '@pewterlanding/runtime';
-import { dueOf } from './dueOf.js';
+import type { ItemId } from '@pewterlanding/model';
+import { dueTimeOf } from '../queue/dueTimeOf.js';
 import type { Item } from './item.js';
 import type { ItemOutcome } from './itemOutcome.js';
 import type { ItemState } from './itemState.js';
 import type { Lease } from './lease.js';
 import type { ItemTask } from './itemTask.js';
-import type { LotOutcomes } from './lotOutcomes.js';
-import type { LotRecord } from './lotRecord.js';
-import type { LotReturn } from './lotReturn.js';
-import type { LotView } from './lotView.js';
+import type { BatchOutcomes } from './batchOutcomes.js';
+import type { BatchRecord } from './batchRecord.js';
+import type { BatchReturn } from './batchReturn.js';
+import type { BatchView } from './batchView.js';
 import type { ResultView } from './resultView.js';
 import { sameLease } from './sameLease.js';
 
@@ -16,19 +16,19 @@
   readonly lease: Lease;
   readonly notBeforeMs: number;
   readonly tried: boolean;
-  readonly maxTries: number;
+  readonly maxAttempts: number;
   readonly failed?: boolean | undefined;
 }
 
 /** A standing lot and its rules: which item may go to which state, and that a final word is never changed. */
-export class Lot {
-  readonly #record: LotRecord & { readonly order: number[] };
+export class Batch {
+  readonly #record: BatchRecord & { readonly order: number[] };
   #open = 0;
   #waitingTokens = 0;
   /** All items before it are final, so that reading on from a cursor is cheap. */
   #finalUpTo = 0;
 
-  constructor(record: LotRecord) {
+  constructor(record: BatchRecord) {
     this.#record = { ...record, order: [...(record.order ?? [])], items: record.items.map(ownItem) };
     for (const item of this.#record.items) {
       if (isFinal(item.state)) continue;
@@ -37,7 +37,7 @@
     }
   }
 
-  get record(): LotRecord & { readonly order: readonly number[] } {
+  get record(): BatchRecord & { readonly order: readonly number[] } {
     return this.#record;
   }
 
@@ -50,74 +50,74 @@
     return this.#waitingTokens;
   }
 
-  item(place: number): Item | undefined {
-    return this.#record.items[place];
+  item(position: number): Item | undefined {
+    return this.#record.items[position];
   }
 
-  estimate(place: number): number {
-    const item = this.#record.items[place];
+  estimate(position: number): number {
+    const item = this.#record.items[position];
     return item === undefined ? 0 : (item.tokens ?? Math.ceil(item.input.length / this.#record.bytesPerToken + this.#record.outputTokens));
   }
 
-  dueAtMs(place: number): number {
-    const item = this.item(place);
-    return item === undefined ? 0 : dueOf(this.#record, item);
+  dueAtMs(position: number): number {
+    const item = this.item(position);
+    return item === undefined ? 0 : dueTimeOf(this.#record, item);
   }
 
-  claim(place: number, lease: Lease): boolean {
-    const item = this.item(place);
+  claim(position: number, lease: Lease): boolean {
+    const item = this.item(position);
     if (item === undefined || item.state !== 'QUEUED') return sameLease(item?.lease, lease);
     item.state = 'DISPATCHED';
     item.lease = lease;
     return true;
   }
 
-  start(place: number, lease: Lease): LotReturn {
-    const item = this.item(place);
-    if (item === undefined) return { done: false, why: 'unknown' };
+  start(position: number, lease: Lease): BatchReturn {
+    const item = this.item(position);
+    if (item === undefined) return { done: false, reason: 'unknown' };
     // An ended lot starts nothing more, whoever holds a lease. An opaque item asks again before it goes on elsewhere, and is refused too.
     if (this.#record.endedMs !== undefined && (this.#record.route !== undefined || item.state !== 'IN_PROGRESS'))
-      return { done: false, why: 'ended' };
-    if (!sameLease(item.lease, lease)) return { done: false, why: 'lease' };
+      return { done: false, reason: 'ended' };
+    if (!sameLease(item.lease, lease)) return { done: false, reason: 'lease' };
     if (item.state === 'DISPATCHED') item.state = 'IN_PROGRESS';
-    return item.state === 'IN_PROGRESS' ? { done: true } : { done: false, why: 'state' };
+    return item.state === 'IN_PROGRESS' ? { done: true } : { done: false, reason: 'state' };
   }
 
-  release(place: number, { lease, notBeforeMs, tried, maxTries, failed }: Released): LotReturn {
-    const item = this.item(place);
-    if (item === undefined) return { done: false, why: 'unknown' };
+  release(position: number, { lease, notBeforeMs, tried, maxAttempts, failed }: Released): BatchReturn {
+    const item = this.item(position);
+    if (item === undefined) return { done: false, reason: 'unknown' };
     // Given back after its start too: the front that holds the lease says that nothing was sent, and nothing will be.
-    if (!sameLease(item.lease, lease) || isFinal(item.state)) return { done: false, why: 'lease' };
-    if (tried) item.tries += 1;
+    if (!sameLease(item.lease, lease) || isFinal(item.state)) return { done: false, reason: 'lease' };
+    if (tried) item.attempts += 1;
     if (failed === true) item.failures = (item.failures ?? 0) + 1;
     const { route } = this.#record;
     // An opaque item is given up for what its route names, and the budget is not among it.
-    if (route !== undefined && (item.failures ?? 0) >= route.tries) this.#finish(place, 'FAILED', undefined);
-    else if (route === undefined && item.tries > maxTries)
-      this.#finish(place, 'FAILED', JSON.stringify({ error: 'the budget refused it too often' }));
-    else this.#requeue(place, notBeforeMs);
+    if (route !== undefined && (item.failures ?? 0) >= route.attempts) this.#finish(position, 'FAILED', undefined);
+    else if (route === undefined && item.attempts > maxAttempts)
+      this.#finish(position, 'FAILED', JSON.stringify({ error: 'the budget refused it too often' }));
+    else this.#requeue(position, notBeforeMs);
     return { done: true };
   }
 
   /** The one write of a result. The same lease closing again finds it done; any other is too late. */
-  close(place: number, lease: Lease, state: 'COMPLETED' | 'FAILED', result: string): LotReturn {
-    const item = this.item(place);
-    if (item === undefined) return { done: false, why: 'unknown' };
-    if (!sameLease(item.lease, lease)) return { done: false, why: 'lease' };
+  close(position: number, lease: Lease, state: 'COMPLETED' | 'FAILED', result: string): BatchReturn {
+    const item = this.item(position);
+    if (item === undefined) return { done: false, reason: 'unknown' };
+    if (!sameLease(item.lease, lease)) return { done: false, reason: 'lease' };
     if (isFinal(item.state)) return { done: true };
-    if (item.state !== 'IN_PROGRESS') return { done: false, why: 'state' };
-    this.#finish(place, state, result);
+    if (item.state !== 'IN_PROGRESS') return { done: false, reason: 'state' };
+    this.#finish(position, state, result);
     return { done: true };
   }
 
   /** Nobody knows whether a started item ran: it runs again only if it may. */
-  lost(place: number, lease: Lease): LotReturn {
-    const item = this.item(place);
-    if (item === undefined || !sameLease(item.lease, lease)) return { done: false, why: 'lease' };
-    if (item.state === 'DISPATCHED') this.#requeue(place, 0);
-    else if (item.state !== 'IN_PROGRESS') return { done: false, why: 'state' };
-    else if (this.#record.repeatable && this.#record.endedMs === undefined) this.#requeue(place, 0);
-    else this.#finish(place, 'FAILED', JSON.stringify({ error: 'outcome unknown: the front that ran it was lost' }));
+  lost(position: number, lease: Lease): BatchReturn {
+    const item = this.item(position);
+    if (item === undefined || !sameLease(item.lease, lease)) return { done: false, reason: 'lease' };
+    if (item.state === 'DISPATCHED') this.#requeue(position, 0);
+    else if (item.state !== 'IN_PROGRESS') return { done: false, reason: 'state' };
+    else if (this.#record.idempotent && this.#record.endedMs === undefined) this.#requeue(position, 0);
+    else this.#finish(position, 'FAILED', JSON.stringify({ error: 'outcome unknown: the front that ran it was lost' }));
     return { done: true };
   }
 
@@ -126,29 +126,29 @@
     this.#record.endedMs = atMs;
     // What runs of an opaque lot may not go on elsewhere, so it is given up now; its front learns of it when it closes.
     const all = this.#record.route !== undefined;
-    this.#record.items.forEach(({ state }, place) => {
-      if (state === 'QUEUED' || state === 'DISPATCHED' || (all && state === 'IN_PROGRESS')) this.#finish(place, 'ENDED', undefined);
+    this.#record.items.forEach(({ state }, position) => {
+      if (state === 'QUEUED' || state === 'DISPATCHED' || (all && state === 'IN_PROGRESS')) this.#finish(position, 'ENDED', undefined);
     });
   }
 
   /** Its route is gone, in a setup at least as new as the one by which it was taken. */
-  abandon(place: number, version: number): LotReturn {
+  abandon(position: number, version: number): BatchReturn {
     const { route } = this.#record;
-    if (route === undefined || version < route.version || this.item(place)?.state !== 'QUEUED') return { done: false, why: 'state' };
-    this.#finish(place, 'FAILED', undefined);
+    if (route === undefined || version < route.version || this.item(position)?.state !== 'QUEUED') return { done: false, reason: 'state' };
+    this.#finish(position, 'FAILED', undefined);
     return { done: true };
   }
 
   /** Nothing of it is owed any more. */
   expire(): void {
-    this.#record.items.forEach(({ state }, place) => {
-      if (!isFinal(state)) this.#finish(place, 'FAILED', undefined);
+    this.#record.items.forEach(({ state }, position) => {
+      if (!isFinal(state)) this.#finish(position, 'FAILED', undefined);
     });
   }
 
   /** Of an item that is not final. */
-  task(place: number): ItemTask | undefined {
-    return this.item(place)?.task;
+  task(position: number): ItemTask | undefined {
+    return this.item(position)?.task;
   }
 
   taskOf(id: ItemId): ItemTask | undefined {
@@ -161,7 +161,7 @@
   }
 
   /** Outcomes from a position on, as many as the bytes allow, but one if there is one. */
-  outcomes(after: number, mostBytes: number): LotOutcomes {
+  outcomes(after: number, maxBytes: number): BatchOutcomes {
     const { order, items, endedMs } = this.#record;
     const outcomes: ItemOutcome[] = [];
     let bytes = 0;
@@ -173,40 +173,40 @@
           ? { id: item.id, state: 'settled', text: item.result ?? '' }
           : { id: item.id, state: 'abandoned', text: '' };
       bytes += Buffer.byteLength(JSON.stringify(outcome)) + 1;
-      if (bytes > mostBytes && outcomes.length > 0) break;
+      if (bytes > maxBytes && outcomes.length > 0) break;
       outcomes.push(outcome);
     }
     return { total: items.length, ended: endedMs !== undefined, outcomes, next: after + outcomes.length };
   }
 
-  view(): LotView {
-    const { id, branch, service, bodyHash, createdMs, endedMs, items } = this.#record;
+  view(): BatchView {
+    const { id, quota, service, bodyHash, createdMs, endedMs, items } = this.#record;
     const counts: Record<string, number> = {};
     // DISPATCHED is ours; callers see it as QUEUED.
     for (const { state } of items) {
       const shown = state === 'DISPATCHED' ? 'QUEUED' : state;
       counts[shown] = (counts[shown] ?? 0) + 1;
     }
-    return { id, branch, service, bodyHash, createdMs, ended: endedMs !== undefined, items: items.length, counts };
+    return { id, quota, service, bodyHash, createdMs, ended: endedMs !== undefined, items: items.length, counts };
   }
 
   /** Final items in order from the cursor, up to the first that is not final. */
-  results(after: number, most: number): { readonly results: ResultView[]; readonly next: number; readonly done: boolean } {
+  results(after: number, limit: number): { readonly results: ResultView[]; readonly next: number; readonly done: boolean } {
     const { items } = this.#record;
     while (this.#finalUpTo < items.length && isFinal(items[this.#finalUpTo]?.state ?? 'QUEUED')) this.#finalUpTo += 1;
-    const next = Math.max(after, Math.min(this.#finalUpTo, after + most));
+    const next = Math.max(after, Math.min(this.#finalUpTo, after + limit));
     const results = items.slice(after, next).flatMap((item, step) => {
       const { id, state, result } = item;
-      return state === 'COMPLETED' || state === 'FAILED' || state === 'ENDED' ? [{ id, place: after + step, state, result }] : [];
+      return state === 'COMPLETED' || state === 'FAILED' || state === 'ENDED' ? [{ id, position: after + step, state, result }] : [];
     });
     return { results, next, done: next >= items.length };
   }
 
-  #requeue(place: number, notBeforeMs: number): void {
-    const item = this.item(place);
+  #requeue(position: number, notBeforeMs: number): void {
+    const item = this.item(position);
     if (item === undefined) return;
     if (this.#record.endedMs !== undefined) {
-      this.#finish(place, 'ENDED', undefined);
+      this.#finish(position, 'ENDED', undefined);
       return;
     }
     item.state = 'QUEUED';
@@ -214,12 +214,12 @@
     item.notBeforeMs = notBeforeMs;
   }
 
-  #finish(place: number, state: 'COMPLETED' | 'FAILED' | 'ENDED', result: string | undefined): void {
-    const item = this.item(place);
+  #finish(position: number, state: 'COMPLETED' | 'FAILED' | 'ENDED', result: string | undefined): void {
+    const item = this.item(position);
     if (item === undefined) return;
     item.state = state;
     delete item.task;
-    this.#record.order.push(place);
+    this.#record.order.push(position);
     this.#waitingTokens -= item.tokens ?? 0;
     if (result !== undefined) item.result = result;
     this.#open -= 1;
--- a/programs/store/src/lotRecord.ts
+++ b/programs/store/src/batch/batchRecord.ts
@@ -1,16 +1,16 @@
 import * as v from 'valibot';
-import { BranchName, Count, LotId, ServiceName } from '@pewterlanding/runtime';
+import { QuotaName, Count, BatchId, ServiceName } from '@pewterlanding/model';
 import { Item } from './item.js';
-import { LotRoute } from './lotRoute.js';
+import { BatchRoute } from './batchRoute.js';
 
 /** A lot as a shard keeps it. */
-export const LotRecord = v.strictObject({
-  id: LotId,
-  branch: BranchName,
+export const BatchRecord = v.strictObject({
+  id: BatchId,
+  quota: QuotaName,
   service: ServiceName,
   /** Of the body that was handed in, to tell a repeat from a different lot under the same key. */
   bodyHash: v.string(),
-  repeatable: v.boolean(),
+  idempotent: v.boolean(),
   createdMs: v.number(),
   endedMs: v.optional(v.number()),
   /** Expected tokens of an item beyond its input, when the lot was handed in. */
@@ -20,6 +20,6 @@
   /** Places of final items in order of finishing; it only grows. */
   order: v.optional(v.array(Count)),
   /** Of a lot of opaque items. */
-  route: v.optional(LotRoute),
+  route: v.optional(BatchRoute),
 });
-export type LotRecord = v.InferOutput<typeof LotRecord>;
+export type BatchRecord = v.InferOutput<typeof BatchRecord>;
--- a/programs/store/src/lotRoute.ts
+++ b/programs/store/src/batch/batchRoute.ts
@@ -1,8 +1,8 @@
 import * as v from 'valibot';
-import { Count, RouteName } from '@pewterlanding/runtime';
+import { Count, RouteName } from '@pewterlanding/model';
 
 /** What a lot of opaque items keeps of the route it was handed in on. */
-export const LotRoute = v.strictObject({
+export const BatchRoute = v.strictObject({
   name: RouteName,
   host: v.string(),
   /** The setup by which it was taken: an older one cannot tell that the route is gone. */
@@ -15,6 +15,6 @@
   /** So long after it was sent it is kept at least. */
   keepMs: Count,
   /** So many answers of 500 and an item is given up. */
-  tries: Count,
+  attempts: Count,
 });
-export type LotRoute = v.InferOutput<typeof LotRoute>;
+export type BatchRoute = v.InferOutput<typeof BatchRoute>;
--- a/programs/store/src/lotView.ts
+++ b/programs/store/src/batch/batchView.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
-import { BranchName, Count, LotId, ServiceName } from '@pewterlanding/runtime';
+import { QuotaName, Count, BatchId, ServiceName } from '@pewterlanding/model';
 
 /** A lot as callers see it. */
-export const LotView = v.strictObject({
-  id: LotId,
-  branch: BranchName,
+export const BatchView = v.strictObject({
+  id: BatchId,
+  quota: QuotaName,
   service: ServiceName,
   /** Of what was handed in: tells a repeat from another lot under the same key. */
   bodyHash: v.string(),
@@ -13,4 +13,4 @@
   items: Count,
   counts: v.record(v.string(), Count),
 });
-export type LotView = v.InferOutput<typeof LotView>;
+export type BatchView = v.InferOutput<typeof BatchView>;
--- a/programs/store/src/item.ts
+++ b/programs/store/src/batch/item.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count, ItemId } from '@pewterlanding/runtime';
+import { Count, ItemId } from '@pewterlanding/model';
 import { ItemState } from './itemState.js';
 import { ItemTask } from './itemTask.js';
 import { Lease } from './lease.js';
@@ -17,7 +17,7 @@
   queuedAtMs: v.number(),
   /** Budget-limited items wait until then. */
   notBeforeMs: v.number(),
-  tries: Count,
+  attempts: Count,
   /** Runs that a replica ended with 500. */
   failures: v.optional(Count),
   lease: v.optional(Lease),
--- a/programs/store/src/leaseKey.ts
+++ b/programs/store/src/batch/leaseKey.ts
@@ -2,5 +2,5 @@
 
 /** A lease as a text, unique over all dispatchers; the front is not part of it. */
 export function leaseKey(lease: Lease): string {
-  return `${lease.epoch}.${lease.number}`;
+  return `${lease.term}.${lease.number}`;
 }
--- a/programs/store/src/openLease.ts
+++ b/programs/store/src/batch/openLease.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { BranchName, Count, RouteName, ServiceName } from '@pewterlanding/runtime';
+import { QuotaName, Count, RouteName, ServiceName } from '@pewterlanding/model';
 import { ItemRef } from './itemRef.js';
 import { Lease } from './lease.js';
 
@@ -8,7 +8,7 @@
   ref: ItemRef,
   lease: Lease,
   started: v.boolean(),
-  branch: BranchName,
+  quota: QuotaName,
   service: ServiceName,
   tokens: Count,
   route: v.optional(RouteName),
--- a/programs/store/src/resultView.ts
+++ b/programs/store/src/batch/resultView.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
-import { Count, ItemId } from '@pewterlanding/runtime';
+import { Count, ItemId } from '@pewterlanding/model';
 
 /** An item's final word. */
 export const ResultView = v.strictObject({
   id: ItemId,
-  place: Count,
+  position: Count,
   state: v.picklist(['COMPLETED', 'FAILED', 'ENDED']),
   result: v.optional(v.string()),
 });
--- a/programs/store/src/main.ts
+++ b/programs/store/src/main.ts
@@ -2,7 +2,7 @@
 import meow from 'meow';
 import { runProgram } from '@pewterlanding/runtime';
 import { startStore } from './startStore.js';
-import { statusHttp } from './statusHttp.js';
+import { statusHttp } from './service/statusHttp.js';
 
 const cli = meow(
   `
@@ -15,4 +15,4 @@
   { importMeta: import.meta, flags: runProgram.flags },
 );
 
-await runProgram({ flags: cli.flags, needs: ['dataFolder'], start: (given) => startStore({ ...given, serve: statusHttp }) });
+await runProgram({ flags: cli.flags, needs: ['dataFolder'], start: (granted) => startStore({ ...granted, serve: statusHttp }) });
--- a/programs/store/src/dueOf.ts
+++ b/programs/store/src/queue/dueTimeOf.ts
@@ -1,10 +1,10 @@
-import type { Item } from './item.js';
-import type { LotRecord } from './lotRecord.js';
+import type { Item } from '../batch/item.js';
+import type { BatchRecord } from '../batch/batchRecord.js';
 
 /** Work without a due time is due a day after it was queued: later than any that has one, but never put off for ever. */
 const noDueMs = 86_400_000;
 
 /** When an item's result is due, by the wall clock. */
-export function dueOf({ route }: Pick<LotRecord, 'route'>, item: Pick<Item, 'queuedAtMs'>): number {
+export function dueTimeOf({ route }: Pick<BatchRecord, 'route'>, item: Pick<Item, 'queuedAtMs'>): number {
   return route?.dueMs === undefined ? item.queuedAtMs + noDueMs : route.sentMs + route.dueMs;
 }
--- a/programs/store/src/waitingLine.ts
+++ b/programs/store/src/queue/queuedItems.ts
@@ -1,8 +1,8 @@
-import type { BranchName, LotId } from '@pewterlanding/runtime';
+import type { QuotaName, BatchId } from '@pewterlanding/model';
 
 interface Waiting {
-  readonly lot: LotId;
-  readonly place: number;
+  readonly batch: BatchId;
+  readonly position: number;
   readonly queuedAtMs: number;
   readonly dueAtMs: number;
 }
@@ -12,26 +12,26 @@
  * The source orders by queued_at alone. Between branches it is the shares that decide, so a due time can put nobody else's work back;
  * within one, what is due first goes first, or the tail of an early lot would make every later one late.
  */
-export class WaitingLine {
-  readonly #lines = new Map<BranchName, Waiting[]>();
+export class QueuedItems {
+  readonly #lines = new Map<QuotaName, Waiting[]>();
 
-  put(branch: BranchName, waiting: Waiting): void {
-    const line = this.#lines.get(branch) ?? [];
-    this.#lines.set(branch, line);
+  put(quota: QuotaName, waiting: Waiting): void {
+    const line = this.#lines.get(quota) ?? [];
+    this.#lines.set(quota, line);
     const at = find(line, waiting);
     if (line[at] === undefined || compare(line[at], waiting) !== 0) line.splice(at, 0, waiting);
   }
 
-  take(branch: BranchName, waiting: Waiting): void {
-    const line = this.#lines.get(branch);
+  take(quota: QuotaName, waiting: Waiting): void {
+    const line = this.#lines.get(quota);
     if (line === undefined) return;
     const at = find(line, waiting);
     const found = line[at];
     if (found !== undefined && compare(found, waiting) === 0) line.splice(at, 1);
-    if (line.length === 0) this.#lines.delete(branch);
+    if (line.length === 0) this.#lines.delete(quota);
   }
 
-  lines(): ReadonlyMap<BranchName, readonly Waiting[]> {
+  lines(): ReadonlyMap<QuotaName, readonly Waiting[]> {
     return this.#lines;
   }
 
@@ -43,8 +43,8 @@
 function compare(a: Waiting, b: Waiting): number {
   if (a.dueAtMs !== b.dueAtMs) return a.dueAtMs - b.dueAtMs;
   if (a.queuedAtMs !== b.queuedAtMs) return a.queuedAtMs - b.queuedAtMs;
-  if (a.lot !== b.lot) return a.lot < b.lot ? -1 : 1;
-  return a.place - b.place;
+  if (a.batch !== b.batch) return a.batch < b.batch ? -1 : 1;
+  return a.position - b.position;
 }
 
 /** The first place whose item does not come before the given one. */
--- a/programs/store/src/announceGroup.ts
+++ b/programs/store/src/service/announceGroup.ts
@@ -5,14 +5,14 @@
 /** A leader tells all who sits in its shard, when that changed or a later epoch tells it. */
 export function announceGroup<C, R>(membership: Membership, member: Member<C, R>): void {
   const key = ShardMap.groupKey(member.shard);
-  const known = membership.board.get(key);
-  const seats = [...member.group()];
-  const same = known !== undefined && known.version[0] === member.term && JSON.stringify(known.value) === JSON.stringify(seats);
+  const known = membership.stateTable.get(key);
+  const members = [...member.group()];
+  const same = known !== undefined && known.version[0] === member.term && JSON.stringify(known.value) === JSON.stringify(members);
   if (!same)
     membership.put({
       key,
       version: [member.term, known?.version[0] === member.term ? known.version[1] + 1 : 0],
       volatile: false,
-      value: seats,
+      value: members,
     });
 }
--- a/programs/store/src/batchStore.ts
+++ b/programs/store/src/service/batchStore.ts
@@ -2,12 +2,12 @@
 import { every } from '@pewterlanding/runtime';
 import { replyAsLeader, ShardHost, ShardSet, ShardMap } from '@pewterlanding/consensus';
 import type { Membership } from '@pewterlanding/membership';
-import type { LotCommand } from './lotCommand.js';
-import { HeldReads } from './heldReads.js';
-import { LotShard } from './lotShard.js';
-import type { LotReturn } from './lotReturn.js';
+import type { BatchCommand } from '../batch/batchCommand.js';
+import { LongPollReads } from '../reads/longPollReads.js';
+import { BatchShard } from '../batch/batchShard.js';
+import type { BatchReturn } from '../batch/batchReturn.js';
 import { announceGroup } from './announceGroup.js';
-import { storeCalls } from './storeCalls.js';
+import { storeCalls } from '../protocol/storeCalls.js';
 
 interface StoreOptions extends ShardEnvironment {
   readonly membership: Membership;
@@ -15,7 +15,7 @@
 }
 
 /** Reads held at once; each is a closure and a timer. */
-const mostHeld = 2048;
+const maxHeld = 2048;
 /** Old lots are looked for so rarely that it costs nothing. */
 const tendSilences = 4;
 
@@ -23,84 +23,86 @@
 export class BatchStore {
   readonly #options: StoreOptions;
   readonly #host: ShardHost;
-  readonly #shards: ShardSet<LotCommand, LotReturn, LotShard>;
-  readonly #held: HeldReads;
+  readonly #shards: ShardSet<BatchCommand, BatchReturn, BatchShard>;
+  readonly #held: LongPollReads;
   readonly #stop: () => void;
   #tended = 0;
 
   constructor(options: StoreOptions) {
     this.#options = options;
-    const { membership, wire, clock, counters, log } = options;
-    this.#held = new HeldReads(clock, mostHeld);
-    this.#host = new ShardHost({ ...options, name: membership.name, address: wire.here });
-    const shards = new ShardSet<LotCommand, LotReturn, LotShard>({
+    const { membership, transport, clock, counters, log } = options;
+    this.#held = new LongPollReads(clock, maxHeld);
+    this.#host = new ShardHost({ ...options, name: membership.name, address: transport.here });
+    const shards = new ShardSet<BatchCommand, BatchReturn, BatchShard>({
       prefix: 'lots-',
       name: membership.name,
       host: this.#host,
-      wire,
+      transport,
       clock,
       counters,
       log,
       fatal: options.fatal,
       failureTimeoutMs: options.bounds.failureTimeoutMs,
-      stateMachine: () => new LotShard({ nowMs: () => clock.nowMs(), finished: (lot) => this.#held.wake(lot) }),
-      told: (shard) => membership.board.get(ShardMap.groupKey(shard))?.value,
+      stateMachine: () => new BatchShard({ nowMs: () => clock.nowMs(), finished: (batch) => this.#held.wake(batch) }),
+      told: (shard) => membership.stateTable.get(ShardMap.groupKey(shard))?.value,
       tell: (member) => announceGroup(membership, member),
     });
     this.#shards = shards;
-    membership.onCard((card, begun) => {
-      if (begun) shards.meet(card.address);
+    membership.onNodeRecord((nodeRecord, begun) => {
+      if (begun) shards.meet(nodeRecord.address);
     });
-    membership.onNews((news) => {
-      if (news.key === ShardMap.key) shards.take(ShardMap.read(news.value));
+    membership.onUpdate((update) => {
+      if (update.key === ShardMap.key) shards.take(ShardMap.read(update.value));
     });
-    wire.serve(storeCalls.change, (body) =>
+    transport.serve(storeCalls.change, (body) =>
       replyAsLeader(() => shards.asLeader(body.shard, ({ member }) => member.propose(body.id, body.command))),
     );
-    wire.serve(storeCalls.lot, (body) => replyAsLeader(() => shards.read(body.shard, (shard) => shard.lots.get(body.lot)?.view())));
-    wire.serve(storeCalls.results, (body) =>
+    transport.serve(storeCalls.batch, (body) =>
+      replyAsLeader(() => shards.read(body.shard, (shard) => shard.batches.get(body.batch)?.view())),
+    );
+    transport.serve(storeCalls.results, (body) =>
       replyAsLeader(() =>
         shards.read(body.shard, (shard) => {
-          const lot = shard.lots.get(body.lot);
-          return lot === undefined ? undefined : { lot: lot.view(), ...lot.results(body.after, body.most) };
+          const batch = shard.batches.get(body.batch);
+          return batch === undefined ? undefined : { batch: batch.view(), ...batch.results(body.after, body.limit) };
         }),
       ),
     );
-    wire.serve(storeCalls.queued, (body) =>
+    transport.serve(storeCalls.queued, (body) =>
       replyAsLeader(() =>
-        shards.read(body.shard, (shard) => ({ epoch: shard.epoch, ...shard.queued(body.most, clock.wallMs()), open: shard.openLeases() })),
+        shards.read(body.shard, (shard) => ({ term: shard.term, ...shard.queued(body.limit, clock.wallMs()), open: shard.openLeases() })),
       ),
     );
-    wire.serve(storeCalls.inputs, (body) =>
+    transport.serve(storeCalls.inputs, (body) =>
       replyAsLeader(() =>
-        shards.read(body.shard, (shard) => body.places.map(({ lot, place }) => shard.lots.get(lot)?.item(place)?.input ?? '')),
+        shards.read(body.shard, (shard) => body.places.map(({ batch, position }) => shard.batches.get(batch)?.item(position)?.input ?? '')),
       ),
     );
-    wire.serve(storeCalls.begin, ({ shard, id, ref, lease }) =>
+    transport.serve(storeCalls.begin, ({ shard, id, ref, lease }) =>
       replyAsLeader(() =>
         shards.asLeader(shard, async ({ member, stateMachine }) => {
-          const back = await member.propose(id, { t: 'start', ref, lease });
-          return { back, task: back.done ? stateMachine.lots.get(ref.lot)?.task(ref.place) : undefined };
+          const response = await member.propose(id, { kind: 'start', ref, lease });
+          return { response, task: response.done ? stateMachine.batches.get(ref.batch)?.task(ref.position) : undefined };
         }),
       ),
     );
-    wire.serve(storeCalls.outcomes, (body) =>
+    transport.serve(storeCalls.outcomes, (body) =>
       replyAsLeader(() =>
         shards.asLeader(body.shard, async ({ member, stateMachine }) => {
-          if (member.isLeader && stateMachine.find(body.lot, body.host)?.waitsAt(body.after) === true)
-            await this.#held.hold(body.lot, body.holdMs);
+          if (member.isLeader && stateMachine.find(body.batch, body.host)?.waitsAt(body.after) === true)
+            await this.#held.hold(body.batch, body.holdMs);
           // Only then: what was confirmed before the hold may be of the past after it.
           await member.confirmLeadership();
-          return stateMachine.find(body.lot, body.host)?.outcomes(body.after, body.mostBytes);
+          return stateMachine.find(body.batch, body.host)?.outcomes(body.after, body.maxBytes);
         }),
       ),
     );
-    wire.serve(storeCalls.itemBody, (body) =>
-      replyAsLeader(() => shards.read(body.shard, (shard) => shard.find(body.lot, body.host)?.taskOf(body.item)?.body)),
+    transport.serve(storeCalls.itemBody, (body) =>
+      replyAsLeader(() => shards.read(body.shard, (shard) => shard.find(body.batch, body.host)?.taskOf(body.item)?.body)),
     );
     this.#stop = every(clock, options.bounds.failureTimeoutMs * tendSilences, () => this.#tend());
-    wire.serve(storeCalls.lots, (body) =>
-      replyAsLeader(() => shards.read(body.shard, (shard) => [...shard.lots.values()].slice(-body.most).map((lot) => lot.view()))),
+    transport.serve(storeCalls.batches, (body) =>
+      replyAsLeader(() => shards.read(body.shard, (shard) => [...shard.batches.values()].slice(-body.limit).map((batch) => batch.view()))),
     );
   }
 
@@ -116,9 +118,9 @@
     for (const { member, stateMachine } of await this.#shards.all()) {
       if (!member.isLeader) continue;
       const { expired, kept } = stateMachine.aged();
-      const commands: LotCommand[] = [];
-      if (expired.length > 0) commands.push({ t: 'expire', lots: expired });
-      if (kept.length > 0) commands.push({ t: 'drop', lots: kept });
+      const commands: BatchCommand[] = [];
+      if (expired.length > 0) commands.push({ kind: 'expire', batches: expired });
+      if (kept.length > 0) commands.push({ kind: 'drop', batches: kept });
       for (const command of commands) {
         this.#tended += 1;
         await member.propose(`tend/${member.term}/${this.#tended}`, command).catch(() => this.#options.counters.add('store.notTended'));
@@ -127,7 +129,7 @@
   }
 
   /** The shards kept here, for status. */
-  shards(): Promise<readonly HostedShard<LotCommand, LotReturn, LotShard>[]> {
+  shards(): Promise<readonly HostedShard<BatchCommand, BatchReturn, BatchShard>[]> {
     return this.#shards.all();
   }
 
--- a/programs/store/src/statusHttp.ts
+++ b/programs/store/src/service/statusHttp.ts
@@ -1,7 +1,7 @@
 import Fastify from 'fastify';
 import type { FastifyInstance } from 'fastify';
-import { addressParts } from '@pewterlanding/runtime';
-import type { Address } from '@pewterlanding/runtime';
+import { addressParts } from '@pewterlanding/model';
+import type { Address } from '@pewterlanding/model';
 
 /** One page: what this process is and has counted. */
 export async function statusHttp(address: Address, status: () => Promise<unknown>): Promise<FastifyInstance> {
--- a/programs/store/src/startStore.ts
+++ b/programs/store/src/startStore.ts
@@ -1,39 +1,55 @@
 import { ShardMap } from '@pewterlanding/consensus';
 import { startMembership } from '@pewterlanding/membership';
-import { Counters, endOn, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpWire } from '@pewterlanding/runtime';
-import type { Address, Boot, Running } from '@pewterlanding/runtime';
-import { BatchStore } from './batchStore.js';
+import { Counters, exitOnFatalError, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import type { BootSettings, Running } from '@pewterlanding/runtime';
+import { BatchStore } from './service/batchStore.js';
 
 interface StartStoreOptions {
-  readonly boot: Boot;
+  readonly bootSettings: BootSettings;
   readonly dataFolder: string;
   /** What operators reach, where the boot names an address for it; returns how to end it. */
   readonly serve?: (address: Address, status: () => Promise<unknown>) => Promise<{ readonly close: () => Promise<unknown> }>;
 }
 
 /** A store machine put together and listening. */
-export async function startStore({ boot, dataFolder, serve }: StartStoreOptions): Promise<Running> {
+export async function startStore({ bootSettings, dataFolder, serve }: StartStoreOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
-  const log = nodeLog(`${boot.name}/store`, boot.logLevel);
+  const log = nodeLog(`${bootSettings.name}/store`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const wire = new TcpWire({ here: boot.advertise ?? boot.listen, listen: boot.listen, fleet: boot.fleet, clock, counters });
-  const membership = startMembership(boot, 'store', { clock, wire, counters, log });
-  const bounds = { failureTimeoutMs: boot.failureTimeoutMs, compactBytes: 16 << 20 };
-  const store = new BatchStore({ membership, clock, wire, disk: new NodeDisk(dataFolder), bounds, counters, log, fatal: endOn(log) });
-  await wire.listen();
+  const transport = new TcpTransport({
+    here: bootSettings.advertise ?? bootSettings.listen,
+    listen: bootSettings.listen,
+    fleet: bootSettings.fleet,
+    clock,
+    counters,
+  });
+  const membership = startMembership(bootSettings, 'store', { clock, transport, counters, log });
+  const bounds = { failureTimeoutMs: bootSettings.failureTimeoutMs, compactBytes: 16 << 20 };
+  const store = new BatchStore({
+    membership,
+    clock,
+    transport,
+    disk: new NodeDisk(dataFolder),
+    bounds,
+    counters,
+    log,
+    fatal: exitOnFatalError(log),
+  });
+  await transport.listen();
   timeline.reach('listening');
   timeline.await('first peer heard', () => membership.live().length > 1);
   // A shard's leader tells its members to all as it begins to lead.
-  timeline.await('shard leader known', () => !membership.board.withPrefix(ShardMap.groupKey('lots-')).next().done);
-  timeline.await('configuration held', () => membership.board.get(ShardMap.key) !== undefined);
-  membership.onNews(() => timeline.look());
+  timeline.await('shard leader known', () => !membership.stateTable.withPrefix(ShardMap.groupKey('lots-')).next().done);
+  timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
+  membership.onUpdate(() => timeline.look());
   const status =
-    boot.http === undefined
+    bootSettings.http === undefined
       ? undefined
-      : await serve?.(boot.http, async () => ({
-          name: boot.name,
+      : await serve?.(bootSettings.http, async () => ({
+          name: bootSettings.name,
           shards: (await store.shards()).map(({ member }) => member.view()),
           startup: timeline.stages(),
           counters: counters.all(),
@@ -44,7 +60,7 @@
       await pause(clock, 50);
       store.close();
       await status?.close();
-      wire.close();
+      transport.close();
     },
   };
 }
--- a/programs/store/test/opaqueLots.test.ts
+++ b/programs/store/test/opaqueBatches.test.ts
@@ -1,17 +1,17 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { ItemId, LotId, RouteName } from '@pewterlanding/runtime';
-import { HeldReads, LotCommand, LotShard } from '../src/index.js';
+import { ItemId, BatchId, RouteName } from '@pewterlanding/model';
+import { LongPollReads, BatchCommand, BatchShard } from '../src/index.js';
 
-const lease = (number: number, epoch = 1) => ({ epoch, number, front: 'f' });
-const ref = (place: number, lot = 'l') => ({ lot, place });
-const id = (text = 'l') => v.parse(LotId, text);
+const lease = (number: number, term = 1) => ({ term, number, front: 'f' });
+const ref = (position: number, batch = 'l') => ({ batch, position });
+const id = (text = 'l') => v.parse(BatchId, text);
 const host = 'a.example';
 const route = v.parse(RouteName, 'r');
 
-interface Handed {
-  readonly lot?: string;
+interface Submitted {
+  readonly batch?: string;
   readonly tokens?: readonly number[];
   readonly cap?: number;
   readonly bodyHash?: string;
@@ -20,42 +20,42 @@
 }
 
 /** A shard whose clock stands at `at.nowMs`. */
-function shardAt(at: { nowMs: number }, finished: (lot: LotId) => void = () => undefined) {
-  const shard = new LotShard({ nowMs: () => at.nowMs, finished });
-  const run = (raw: unknown): ReturnType<LotShard['apply']> => shard.apply(v.parse(LotCommand, raw));
-  const hand = ({ lot = 'l', tokens = [10, 10, 10], cap = 0, bodyHash = 'h', sentMs = 1000, dueMs }: Handed = {}) =>
+function shardAt(at: { nowMs: number }, finished: (batch: BatchId) => void = () => undefined) {
+  const shard = new BatchShard({ nowMs: () => at.nowMs, finished });
+  const run = (raw: unknown): ReturnType<BatchShard['apply']> => shard.apply(v.parse(BatchCommand, raw));
+  const hand = ({ batch = 'l', tokens = [10, 10, 10], cap = 0, bodyHash = 'h', sentMs = 1000, dueMs }: Submitted = {}) =>
     run({
-      t: 'hand',
+      kind: 'submit',
       waitingTokens: cap,
-      lot: {
-        id: lot,
-        branch: 'north',
+      batch: {
+        id: batch,
+        quota: 'north',
         service: 's',
         bodyHash,
-        repeatable: true,
+        idempotent: true,
         createdMs: sentMs,
         outputTokens: 0,
         bytesPerToken: 1,
-        route: { name: route, host, version: 3, sentMs, dueMs, retainMs: 500, keepMs: 9000, tries: 2 },
-        items: tokens.map((stated, place) => ({
-          id: `${lot}${place}`,
+        route: { name: route, host, version: 3, sentMs, dueMs, retainMs: 500, keepMs: 9000, attempts: 2 },
+        items: tokens.map((stated, position) => ({
+          id: `${batch}${position}`,
           input: '',
-          task: { path: '/p/', headers: {}, body: new Uint8Array([place]) },
+          task: { path: '/p/', headers: {}, body: new Uint8Array([position]) },
           tokens: stated,
           state: 'QUEUED',
           queuedAtMs: sentMs,
           notBeforeMs: 0,
-          tries: 0,
+          attempts: 0,
         })),
       },
     });
   /** Claims and starts one item. */
-  const start = (place: number, number: number, lot = 'l') => {
-    run({ t: 'claim', epoch: 1, claims: [{ ref: ref(place, lot), lease: lease(number) }] });
-    return run({ t: 'start', ref: ref(place, lot), lease: lease(number) });
+  const start = (position: number, number: number, batch = 'l') => {
+    run({ kind: 'claim', term: 1, claims: [{ ref: ref(position, batch), lease: lease(number) }] });
+    return run({ kind: 'start', ref: ref(position, batch), lease: lease(number) });
   };
-  const close = (place: number, number: number, state: string, result: string) =>
-    run({ t: 'close', ref: ref(place), lease: lease(number), state, result });
+  const close = (position: number, number: number, state: string, result: string) =>
+    run({ kind: 'close', ref: ref(position), lease: lease(number), state, result });
   const outcomes = (after = 0, bytes = 1000) => shard.find(id(), host)?.outcomes(after, bytes);
   const words = () => outcomes()?.outcomes.map((one) => `${one.id} ${one.state} ${one.text}`);
   return { shard, run, hand, start, close, outcomes, words };
@@ -66,21 +66,21 @@
 describe('a lot of opaque items', () => {
   it('is taken up to the cap exactly, once however often it comes, and makes room as its items are final', () => {
     const { shard, run, hand, start, close } = shardAt({ nowMs: 0 });
-    expect(hand({ lot: 'l', cap: 50 })).toEqual(done);
-    expect(hand({ lot: 'm', cap: 50, tokens: [10, 11] })).toEqual({ done: false, why: 'full' });
-    expect(hand({ lot: 'm', cap: 50, tokens: [10, 10] })).toEqual(done);
-    expect(hand({ lot: 'n', cap: 50, tokens: [1] })).toEqual({ done: false, why: 'full' });
+    expect(hand({ batch: 'l', cap: 50 })).toEqual(done);
+    expect(hand({ batch: 'm', cap: 50, tokens: [10, 11] })).toEqual({ done: false, reason: 'full' });
+    expect(hand({ batch: 'm', cap: 50, tokens: [10, 10] })).toEqual(done);
+    expect(hand({ batch: 'n', cap: 50, tokens: [1] })).toEqual({ done: false, reason: 'full' });
     // A repeat is no second lot, and is not refused for room that it takes itself.
-    expect(hand({ lot: 'l', cap: 50 })).toEqual(done);
-    expect(hand({ lot: 'l', cap: 50, bodyHash: 'other' })).toEqual({ done: false, why: 'different' });
+    expect(hand({ batch: 'l', cap: 50 })).toEqual(done);
+    expect(hand({ batch: 'l', cap: 50, bodyHash: 'other' })).toEqual({ done: false, reason: 'different' });
     expect(shard.waitingTokens(route)).toEqual(50);
     start(0, 1);
     close(0, 1, 'COMPLETED', 'x');
     close(0, 1, 'COMPLETED', 'x');
     expect(shard.waitingTokens(route)).toEqual(40);
-    run({ t: 'end', lot: 'm', host, atMs: 1 });
+    run({ kind: 'end', batch: 'm', host, atMs: 1 });
     expect(shard.waitingTokens(route)).toEqual(20);
-    const copy = new LotShard();
+    const copy = new BatchShard();
     copy.restore(shard.snapshot());
     expect(copy.waitingTokens(route)).toEqual(20);
   });
@@ -88,7 +88,7 @@
   it('lists outcomes in order of finishing, at positions that never change, and keeps bytes only until then', () => {
     const { shard, start, close, outcomes, words, hand } = shardAt({ nowMs: 0 });
     hand();
-    for (const place of [0, 1, 2]) start(place, place);
+    for (const position of [0, 1, 2]) start(position, position);
     expect(shard.find(id(), host)?.taskOf(v.parse(ItemId, 'l2'))?.body).toEqual(new Uint8Array([2]));
     close(2, 2, 'COMPLETED', 'two');
     expect(words()).toEqual(['l2 settled two']);
@@ -107,7 +107,7 @@
     expect(outcomes(9)?.outcomes).toEqual([]);
     // Nobody reads a lot under the host of another.
     expect(shard.find(id(), 'b.example')).toEqual(undefined);
-    const copy = new LotShard();
+    const copy = new BatchShard();
     copy.restore(shard.snapshot());
     expect(copy.find(id(), host)?.outcomes(0, 1000)).toEqual(outcomes());
   });
@@ -116,12 +116,12 @@
     const at = { nowMs: 0 };
     const { shard, run, hand, start, close, words } = shardAt(at);
     hand({ tokens: [1, 1, 1, 1, 1] });
-    const release = (place: number, number: number, more: object) =>
-      run({ t: 'release', ref: ref(place), lease: lease(number), notBeforeMs: 0, tried: false, maxTries: 0, ...more });
+    const release = (position: number, number: number, more: object) =>
+      run({ kind: 'release', ref: ref(position), lease: lease(number), notBeforeMs: 0, tried: false, maxAttempts: 0, ...more });
     // The budget, a lost front and a broken run put it back, however often.
     for (let number = 1; number < 9; number += 1) {
       start(0, number);
-      if (number % 2 === 0) run({ t: 'lost', ref: ref(0), lease: lease(number) });
+      if (number % 2 === 0) run({ kind: 'lost', ref: ref(0), lease: lease(number) });
       else release(0, number, { tried: true });
     }
     start(0, 10);
@@ -132,23 +132,23 @@
     start(1, 12);
     close(1, 12, 'FAILED', '');
     // Gone from an older setup than the one by which it was taken says nothing.
-    run({ t: 'abandon', refs: [ref(2)], version: 2 });
+    run({ kind: 'abandon', refs: [ref(2)], version: 2 });
     expect(words()).toEqual(['l0 abandoned ', 'l1 abandoned ']);
-    run({ t: 'abandon', refs: [ref(2)], version: 3 });
+    run({ kind: 'abandon', refs: [ref(2)], version: 3 });
     at.nowMs = 500;
     expect(shard.aged()).toEqual({ expired: [], kept: [] });
     at.nowMs = 501;
     expect(shard.aged()).toEqual({ expired: [id()], kept: [] });
-    run({ t: 'expire', lots: [id()] });
+    run({ kind: 'expire', batches: [id()] });
     expect(words()?.length).toEqual(5);
     // Its results stay as long as they must, by the leader's own clock.
-    run({ t: 'forget', beforeMs: 1e15 });
+    run({ kind: 'forget', beforeMs: 1e15 });
     at.nowMs = 9000;
     expect(shard.aged().kept).toEqual([]);
     at.nowMs = 9001;
     expect(shard.aged().kept).toEqual([id()]);
-    run({ t: 'drop', lots: [id()] });
-    expect(shard.lots.size).toEqual(0);
+    run({ kind: 'drop', batches: [id()] });
+    expect(shard.batches.size).toEqual(0);
   });
 
   it('starts nothing after its end, also what runs already and would go on elsewhere', () => {
@@ -156,11 +156,11 @@
     hand();
     start(0, 1);
     // A run that broke asks again under its lease.
-    expect(run({ t: 'start', ref: ref(0), lease: lease(1) })).toEqual(done);
-    expect(run({ t: 'end', lot: 'l', host: 'b.example', atMs: 5 })).toEqual({ done: false, why: 'unknown' });
-    expect(run({ t: 'end', lot: 'l', host, atMs: 5 })).toEqual(done);
-    expect(run({ t: 'end', lot: 'l', host, atMs: 6 })).toEqual(done);
-    expect(run({ t: 'start', ref: ref(0), lease: lease(1) })).toEqual({ done: false, why: 'ended' });
+    expect(run({ kind: 'start', ref: ref(0), lease: lease(1) })).toEqual(done);
+    expect(run({ kind: 'end', batch: 'l', host: 'b.example', atMs: 5 })).toEqual({ done: false, reason: 'unknown' });
+    expect(run({ kind: 'end', batch: 'l', host, atMs: 5 })).toEqual(done);
+    expect(run({ kind: 'end', batch: 'l', host, atMs: 6 })).toEqual(done);
+    expect(run({ kind: 'start', ref: ref(0), lease: lease(1) })).toEqual({ done: false, reason: 'ended' });
     close(0, 1, 'COMPLETED', 'late');
     expect(words()).toEqual(['l0 abandoned ', 'l1 abandoned ', 'l2 abandoned ']);
     expect(shard.openLeases()).toEqual([]);
@@ -168,21 +168,21 @@
     const other = shardAt({ nowMs: 0 });
     other.hand();
     other.start(0, 1);
-    other.run({ t: 'fence', epoch: 2 });
-    expect(other.run({ t: 'start', ref: ref(0), lease: lease(1) })).toEqual(done);
-    other.run({ t: 'end', lot: 'l', host, atMs: 5 });
-    expect(other.run({ t: 'start', ref: ref(0), lease: lease(1) }).done).toEqual(false);
+    other.run({ kind: 'fence', term: 2 });
+    expect(other.run({ kind: 'start', ref: ref(0), lease: lease(1) })).toEqual(done);
+    other.run({ kind: 'end', batch: 'l', host, atMs: 5 });
+    expect(other.run({ kind: 'start', ref: ref(0), lease: lease(1) }).done).toEqual(false);
   });
 
   it('goes by due time within its branch, and rests after it was given back', () => {
     const at = { nowMs: 0 };
     const { shard, run, hand, start } = shardAt(at);
-    hand({ lot: 'l', tokens: [1], sentMs: 1000, dueMs: 8000 });
-    hand({ lot: 'm', tokens: [1], sentMs: 2000, dueMs: 3000 });
+    hand({ batch: 'l', tokens: [1], sentMs: 1000, dueMs: 8000 });
+    hand({ batch: 'm', tokens: [1], sentMs: 2000, dueMs: 3000 });
     const next = () => shard.queued(9, 0).items.map((item) => item.route?.item);
     expect(next()).toEqual([v.parse(ItemId, 'm0'), v.parse(ItemId, 'l0')]);
     start(0, 1, 'm');
-    run({ t: 'release', ref: ref(0, 'm'), lease: lease(1), notBeforeMs: 0, tried: false, maxTries: 0, waitMs: 50 });
+    run({ kind: 'release', ref: ref(0, 'm'), lease: lease(1), notBeforeMs: 0, tried: false, maxAttempts: 0, waitMs: 50 });
     expect(next()).toEqual([v.parse(ItemId, 'l0')]);
     at.nowMs = 50;
     expect(next().length).toEqual(2);
@@ -198,8 +198,8 @@
         return () => undefined;
       },
     };
-    const held = new HeldReads(clock, 2);
-    const { hand, start, close, shard } = shardAt({ nowMs: 0 }, (lot) => held.wake(lot));
+    const held = new LongPollReads(clock, 2);
+    const { hand, start, close, shard } = shardAt({ nowMs: 0 }, (batch) => held.wake(batch));
     hand();
     start(0, 1);
     expect(shard.find(id(), host)?.waitsAt(0)).toEqual(true);
--- a/testing/simulator/src/digest/digestCases.ts
+++ b/testing/simulator/src/digest/digestCases.ts
@@ -6,7 +6,7 @@
 import { fleetScenarios } from '../sim/scenarios/fleetScenarios.js';
 import { itemScenarios } from '../sim/scenarios/itemScenarios.js';
 import { limitScenarios } from '../sim/scenarios/limitScenarios.js';
-import { lotScenarios } from '../sim/scenarios/lotScenarios.js';
+import { batchScenarios } from '../sim/scenarios/batchScenarios.js';
 import { orderScenarios } from '../sim/scenarios/orderScenarios.js';
 import { repairScenarios } from '../sim/scenarios/repairScenarios.js';
 import { taskScenarios } from '../sim/scenarios/taskScenarios.js';
@@ -28,7 +28,7 @@
   fleetScenarios,
   itemScenarios,
   limitScenarios,
-  lotScenarios,
+  batchScenarios,
   orderScenarios,
   partialPartitionScenarios,
   repairScenarios,
--- a/testing/simulator/src/history/checkerBounds.ts
+++ b/testing/simulator/src/history/checkerBounds.ts
@@ -2,10 +2,10 @@
 export interface CheckerBounds {
   /** After we learned of a replica's end, and after a confirmation. */
   readonly aboutTwoMs: number;
-  readonly lotReadableMs: number;
+  readonly batchReadableMs: number;
   /** How long a read may wait for another leader when one just died. */
   readonly takeoverMs: number;
-  readonly lotEndedMs: number;
+  readonly batchEndedMs: number;
   readonly recoveryMs: number;
   /** Branches' own shares a minute, for waiting work. */
   readonly shares: ReadonlyMap<string, { readonly requests: number; readonly tokens: number }>;
--- a/testing/simulator/src/history/setupCheckers.ts
+++ b/testing/simulator/src/history/configurationCheckers.ts
@@ -1,31 +1,34 @@
 import type { Checker } from './checker.js';
-import type { Complaint } from './complaint.js';
-import type { Happening } from './happening.js';
+import type { Violation } from './violation.js';
+import type { HistoryEvent } from './historyEvent.js';
 import { of } from './of.js';
 import { runsByKey } from './runsByKey.js';
 
-type Planned = Extract<Happening, { t: 'planned' }>;
+type Planned = Extract<HistoryEvent, { type: 'planned' }>;
 
 /** So many of the newest are shown; older ones stand in the audit trail alone. */
 const keptConfirmations = 200;
 
 /** The plans that may be in force at a moment: the newest known to be, and those after it or of unknown outcome. */
-function possibilities(history: readonly Happening[], aboutTwoMs: number): (atMs: number) => readonly Planned[] {
+function possibilities(history: readonly HistoryEvent[], aboutTwoMs: number): (atMs: number) => readonly Planned[] {
   const planned = of(history, 'planned');
   const confirmed = of(history, 'confirmed');
   const versions = new Map(confirmed.map((one) => [one.plan, one.version]));
   const rejected = new Set(of(history, 'rejected').map((one) => one.plan));
   return (atMs) => {
-    const newest = confirmed.reduce((most, one) => (one.inForce && one.atMs + aboutTwoMs <= atMs ? Math.max(most, one.version) : most), 0);
+    const newest = confirmed.reduce(
+      (limit, one) => (one.inForce && one.atMs + aboutTwoMs <= atMs ? Math.max(limit, one.version) : limit),
+      0,
+    );
     if (newest === 0) return [];
     return planned.filter((plan) => plan.atMs <= atMs && !rejected.has(plan.plan) && (versions.get(plan.plan) ?? newest) >= newest);
   };
 }
 
 /** Whether confirmed setups are in force, stay in force, and are kept. */
-export const setupCheckers: Readonly<Record<string, Checker>> = {
+export const configurationCheckers: Readonly<Record<string, Checker>> = {
   'a confirmed setup is ignored, or an old one returns': (history, bounds) => {
-    const complaints: Complaint[] = [];
+    const violations: Violation[] = [];
     let judged = 0;
     // By behaviour: what no setup that may be in force allows must be refused, and must not begin.
     const told = new Map(of(history, 'told').map((one) => [one.key, one]));
@@ -33,83 +36,83 @@
     const possible = possibilities(history, bounds.aboutTwoMs);
     const confirmed = of(history, 'confirmed');
     const changes = [...confirmed, ...of(history, 'planned')].map((one) => one.atMs);
-    const ever = new Set(of(history, 'planned').flatMap((plan) => [...plan.services, ...plan.branches]));
+    const ever = new Set(of(history, 'planned').flatMap((plan) => [...plan.services, ...plan.quotas]));
     const turned = new Map<string, number>();
     for (const sent of of(history, 'sent')) {
-      const { service, branch, front, kind } = sent;
+      const { service, quota, front, kind } = sent;
       if (!ever.has(service)) continue;
       const allowed = (atMs: number): boolean => {
         const plans = possible(atMs);
         return (
           plans.length === 0 ||
-          plans.some((plan) => plan.services.includes(service) && (branch === undefined || plan.branches.includes(branch)))
+          plans.some((plan) => plan.services.includes(service) && (quota === undefined || plan.quotas.includes(quota)))
         );
       };
       if (!allowed(sent.atMs)) judged += 1;
       const late = runs.get(sent.key)?.find((run) => !allowed(run.sentMs ?? run.atMs));
       if (late !== undefined)
-        complaints.push({ atMs: late.atMs, what: `${sent.key} began at ${service} for ${branch ?? ''}, which was pruned` });
-      const back = told.get(sent.key);
-      if (back === undefined || kind === 'lot') continue;
-      const last = `${front ?? ''} ${service} ${branch ?? ''}`;
-      if (back.outcome === 'returned') {
+        violations.push({ atMs: late.atMs, what: `${sent.key} began at ${service} for ${quota ?? ''}, which was pruned` });
+      const response = told.get(sent.key);
+      if (response === undefined || kind === 'batch') continue;
+      const last = `${front ?? ''} ${service} ${quota ?? ''}`;
+      if (response.outcome === 'returned') {
         const goneMs = turned.get(last);
         // Once this front has refused it as pruned, it may take it again only under a later plan.
-        const later = changes.some((changedMs) => changedMs >= (goneMs ?? 0) - bounds.aboutTwoMs && changedMs <= back.atMs);
+        const later = changes.some((changedMs) => changedMs >= (goneMs ?? 0) - bounds.aboutTwoMs && changedMs <= response.atMs);
         const asked = sent.atMs > (goneMs ?? Number.POSITIVE_INFINITY);
-        if (asked && !later) complaints.push({ atMs: back.atMs, what: `${front ?? ''} had refused ${service} and took ${sent.key}` });
-      } else if (back.status === 403 || back.status === 404) turned.set(last, back.atMs);
+        if (asked && !later) violations.push({ atMs: response.atMs, what: `${front ?? ''} had refused ${service} and took ${sent.key}` });
+      } else if (response.status === 403 || response.status === 404) turned.set(last, response.atMs);
     }
-    for (const lot of of(history, 'lotAccepted')) {
-      const most = possible(lot.atMs).map((plan) => plan.maxItems);
-      if (most.length === 0 || most.includes(undefined)) continue;
+    for (const batch of of(history, 'batchAccepted')) {
+      const limit = possible(batch.atMs).map((plan) => plan.maxItems);
+      if (limit.length === 0 || limit.includes(undefined)) continue;
       judged += 1;
-      const largest = Math.max(...most.flatMap((items) => items ?? []));
-      if (lot.items.length > largest)
-        complaints.push({ atMs: lot.atMs, what: `${lot.lot} of ${lot.items.length} items was taken, ${largest} are allowed` });
+      const largest = Math.max(...limit.flatMap((items) => items ?? []));
+      if (batch.items.length > largest)
+        violations.push({ atMs: batch.atMs, what: `${batch.batch} of ${batch.items.length} items was taken, ${largest} are allowed` });
     }
     // By what fronts say of themselves: it can only speak against them.
     const seen = new Map<string, number>();
     for (const one of of(history, 'carriedUnder')) {
       const before = seen.get(one.front) ?? 0;
-      if (one.version < before) complaints.push({ atMs: one.atMs, what: `${one.front} went back from ${before} to ${one.version}` });
+      if (one.version < before) violations.push({ atMs: one.atMs, what: `${one.front} went back from ${before} to ${one.version}` });
       seen.set(one.front, Math.max(before, one.version));
       const missed = confirmed.find((c) => c.inForce && one.atMs > c.atMs + bounds.aboutTwoMs && one.version < c.version);
       if (missed !== undefined)
-        complaints.push({ atMs: one.atMs, what: `${one.front} carried under ${one.version}, ${missed.version} was confirmed` });
+        violations.push({ atMs: one.atMs, what: `${one.front} carried under ${one.version}, ${missed.version} was confirmed` });
     }
-    return { judged, complaints };
+    return { judged, violations };
   },
 
   'a confirmed setup is forgotten, or a refused one takes effect': (history) => {
-    const complaints: Complaint[] = [];
+    const violations: Violation[] = [];
     const confirmed = of(history, 'confirmed');
     const rejected = new Set(of(history, 'rejected').map((one) => one.plan));
     let judged = 0;
-    for (const read of of(history, 'setupRead')) {
+    for (const read of of(history, 'configurationRead')) {
       const known = confirmed.filter((one) => one.atMs <= read.askedMs);
       judged += known.length;
-      const newest = known.reduce((most, one) => Math.max(most, one.version), 0);
-      if (read.version < newest) complaints.push({ atMs: read.atMs, what: `read version ${read.version}, ${newest} was confirmed before` });
+      const newest = known.reduce((limit, one) => Math.max(limit, one.version), 0);
+      if (read.version < newest) violations.push({ atMs: read.atMs, what: `read version ${read.version}, ${newest} was confirmed before` });
       for (const one of known)
         if (one.version > read.version - keptConfirmations && !read.plans.includes(one.plan))
-          complaints.push({ atMs: read.atMs, what: `${one.plan} is not in the history any more` });
+          violations.push({ atMs: read.atMs, what: `${one.plan} is not in the history any more` });
       for (const plan of read.plans)
-        if (rejected.has(plan)) complaints.push({ atMs: read.atMs, what: `${plan} was refused and took effect` });
+        if (rejected.has(plan)) violations.push({ atMs: read.atMs, what: `${plan} was refused and took effect` });
     }
     const bases = new Map(of(history, 'planned').map((one) => [one.plan, one.base]));
     for (const one of confirmed) {
       const base = bases.get(one.plan);
       if (base !== undefined && base !== one.version - 1)
-        complaints.push({ atMs: one.atMs, what: `${one.plan} was made on version ${base} and put over version ${one.version - 1}` });
+        violations.push({ atMs: one.atMs, what: `${one.plan} was made on version ${base} and put over version ${one.version - 1}` });
     }
     const plans = new Map<number, string>();
     for (const one of confirmed) {
       const other = plans.get(one.version);
       if (other !== undefined && other !== one.plan)
-        complaints.push({ atMs: one.atMs, what: `version ${one.version} was confirmed for ${other} and ${one.plan}` });
+        violations.push({ atMs: one.atMs, what: `version ${one.version} was confirmed for ${other} and ${one.plan}` });
       plans.set(one.version, one.plan);
     }
-    return { judged, complaints };
+    return { judged, violations };
   },
 };
--- a/testing/simulator/src/history/happening.ts
+++ b/testing/simulator/src/history/historyEvent.ts
@@ -5,20 +5,20 @@
 const names = v.array(v.string());
 
 /** One thing that callers, replicas, operators or the harness saw. Histories are lists of these, checked after the fact. */
-export const Happening = v.variant('t', [
+export const HistoryEvent = v.variant('type', [
   v.strictObject({
-    t: v.literal('sent'),
+    type: v.literal('sent'),
     atMs,
     key,
     service: v.string(),
-    repeatable: v.boolean(),
+    idempotent: v.boolean(),
     /** What kind of work it is; recovery is judged for each. */
-    kind: v.optional(v.picklist(['streamed', 'whole', 'lot'])),
-    branch: v.optional(v.string()),
+    kind: v.optional(v.picklist(['streamed', 'whole', 'batch'])),
+    quota: v.optional(v.string()),
     front: v.optional(v.string()),
   }),
   v.strictObject({
-    t: v.literal('told'),
+    type: v.literal('told'),
     atMs,
     key,
     outcome: v.picklist(['returned', 'refused', 'failed', 'cut', 'lost']),
@@ -30,59 +30,66 @@
   }),
   /** `sentMs` is when the front sent it, where the harness saw that; else it is judged by its arrival, which is stricter. */
   v.strictObject({
-    t: v.literal('ran'),
+    type: v.literal('ran'),
     atMs,
     sentMs: v.optional(v.number()),
     key,
     run: v.string(),
     replica: v.string(),
     service: v.string(),
-    branch: v.optional(v.string()),
+    quota: v.optional(v.string()),
     /** What it read and wrote. */
     bytes: v.optional(v.number()),
   }),
   /** From then on the fleet knew that the replica's life was over; and that a new one had begun. */
-  v.strictObject({ t: v.literal('replicaEnds'), atMs, replica: v.string() }),
-  v.strictObject({ t: v.literal('replicaBegins'), atMs, replica: v.string() }),
+  v.strictObject({ type: v.literal('replicaEnds'), atMs, replica: v.string() }),
+  v.strictObject({ type: v.literal('replicaBegins'), atMs, replica: v.string() }),
   /** A plan, and what would be allowed under it. */
   v.strictObject({
-    t: v.literal('planned'),
+    type: v.literal('planned'),
     atMs,
     plan: v.string(),
     base: v.optional(v.number()),
     services: names,
-    branches: names,
+    quotas: names,
     maxItems: v.optional(v.number()),
   }),
-  v.strictObject({ t: v.literal('confirmed'), atMs, plan: v.string(), version: v.number(), inForce: v.boolean() }),
-  v.strictObject({ t: v.literal('rejected'), atMs, plan: v.string() }),
+  v.strictObject({ type: v.literal('confirmed'), atMs, plan: v.string(), version: v.number(), inForce: v.boolean() }),
+  v.strictObject({ type: v.literal('rejected'), atMs, plan: v.string() }),
   /** A front said which version it carries under: of use against it, not for it. */
-  v.strictObject({ t: v.literal('carriedUnder'), atMs, front: v.string(), version: v.number() }),
-  v.strictObject({ t: v.literal('setupRead'), askedMs: v.number(), atMs, version: v.number(), mark: v.optional(v.number()), plans: names }),
+  v.strictObject({ type: v.literal('carriedUnder'), atMs, front: v.string(), version: v.number() }),
+  v.strictObject({
+    type: v.literal('configurationRead'),
+    askedMs: v.number(),
+    atMs,
+    version: v.number(),
+    revision: v.optional(v.number()),
+    plans: names,
+  }),
   /** An operator's order in one call: its number and the one that it builds on; whether it must not be taken. */
-  v.strictObject({ t: v.literal('ordered'), atMs, order: v.string(), basedOn: v.number(), mark: v.number(), wrong: v.boolean() }),
+  v.strictObject({ type: v.literal('ordered'), atMs, order: v.string(), basedOn: v.number(), revision: v.number(), wrong: v.boolean() }),
   /** What a controller answered; a lost answer never reached the operator, and binds all the same. */
   v.strictObject({
-    t: v.literal('orderAnswered'),
+    type: v.literal('orderAnswered'),
     atMs,
     order: v.string(),
     outcome: v.picklist(['taken', 'conflict', 'invalid']),
     lost: v.boolean(),
   }),
-  v.strictObject({ t: v.literal('lotAccepted'), atMs, lot: v.string(), branch: v.string(), items: names }),
+  v.strictObject({ type: v.literal('batchAccepted'), atMs, batch: v.string(), quota: v.string(), items: names }),
   /** The lot was refused for good: none of its items may ever run. */
-  v.strictObject({ t: v.literal('lotRefused'), atMs, lot: v.string(), items: names }),
+  v.strictObject({ type: v.literal('batchRefused'), atMs, batch: v.string(), items: names }),
   v.strictObject({
-    t: v.literal('lotRead'),
+    type: v.literal('batchRead'),
     askedMs: v.number(),
     atMs,
-    lot: v.string(),
+    batch: v.string(),
     /** `silent`: a time-out or a 5xx, from which nobody learned anything. */
     found: v.picklist(['yes', 'no', 'silent']),
     results: v.array(v.strictObject({ id: v.string(), result: v.string() })),
   }),
-  v.strictObject({ t: v.literal('lotEnded'), atMs, lot: v.string() }),
-  v.strictObject({ t: v.literal('faulted'), atMs, what: v.string() }),
-  v.strictObject({ t: v.literal('repaired'), atMs }),
+  v.strictObject({ type: v.literal('batchEnded'), atMs, batch: v.string() }),
+  v.strictObject({ type: v.literal('faulted'), atMs, what: v.string() }),
+  v.strictObject({ type: v.literal('repaired'), atMs }),
 ]);
-export type Happening = v.InferOutput<typeof Happening>;
+export type HistoryEvent = v.InferOutput<typeof HistoryEvent>;
--- a/testing/simulator/src/history/judge.ts
+++ b/testing/simulator/src/history/judge.ts
@@ -1,10 +1,10 @@
 import type { CheckerBounds } from './checkerBounds.js';
 import { checkers } from './checkers.js';
-import type { Happening } from './happening.js';
+import type { HistoryEvent } from './historyEvent.js';
 import type { Verdict } from './verdict.js';
 
 /** Every rule's verdict on a history, put in the order of time. */
-export function judge(history: readonly Happening[], bounds: CheckerBounds): readonly Verdict[] {
+export function judge(history: readonly HistoryEvent[], bounds: CheckerBounds): readonly Verdict[] {
   const inOrder = [...history].sort((a, b) => a.atMs - b.atMs);
   return Object.entries(checkers).map(([rule, check]) => ({ rule, ...check(inOrder, bounds) }));
 }
--- a/testing/simulator/src/history/of.ts
+++ b/testing/simulator/src/history/of.ts
@@ -1,12 +1,12 @@
-import type { Happening } from './happening.js';
+import type { HistoryEvent } from './historyEvent.js';
 
 /** The happenings of one kind, in order. */
-export function of<T extends Happening['t']>(history: readonly Happening[], t: T): Extract<Happening, { t: T }>[] {
-  const found: Extract<Happening, { t: T }>[] = [];
+export function of<T extends HistoryEvent['type']>(history: readonly HistoryEvent[], t: T): Extract<HistoryEvent, { type: T }>[] {
+  const found: Extract<HistoryEvent, { type: T }>[] = [];
   for (const one of history) if (is(one, t)) found.push(one);
   return found;
 }
 
-function is<T extends Happening['t']>(one: Happening, t: T): one is Extract<Happening, { t: T }> {
-  return one.t === t;
+function is<T extends HistoryEvent['type']>(one: HistoryEvent, t: T): one is Extract<HistoryEvent, { type: T }> {
+  return one.type === t;
 }
--- a/testing/simulator/src/history/orderCheckers.ts
+++ b/testing/simulator/src/history/orderCheckers.ts
@@ -1,5 +1,5 @@
 import type { Checker } from './checker.js';
-import type { Complaint } from './complaint.js';
+import type { Violation } from './violation.js';
 import { of } from './of.js';
 
 /** What is promised about orders that are planned, checked and confirmed in one call. */
@@ -7,7 +7,7 @@
   'an order has two outcomes, or two orders one number': (history) => {
     const orders = new Map(of(history, 'ordered').map((one) => [one.order, one]));
     const answers = of(history, 'orderAnswered');
-    const complaints: Complaint[] = [];
+    const violations: Violation[] = [];
     const first = new Map<string, string>();
     const numbers = new Map<number, string>();
     const bases = new Map<number, string>();
@@ -18,23 +18,23 @@
       if (before === undefined) first.set(order, outcome);
       // A refusal is final too: the version that the order builds on never comes back.
       else if ((before === 'taken') !== (outcome === 'taken'))
-        complaints.push({ atMs, what: `${order} was answered ${before} and then ${outcome}` });
+        violations.push({ atMs, what: `${order} was answered ${before} and then ${outcome}` });
       if (outcome !== 'taken') continue;
-      if (sent.wrong) complaints.push({ atMs, what: `${order} must not be taken` });
-      const sameNumber = numbers.get(sent.mark) ?? order;
-      if (sameNumber !== order) complaints.push({ atMs, what: `${sameNumber} and ${order} were both taken under ${sent.mark}` });
-      numbers.set(sent.mark, order);
+      if (sent.wrong) violations.push({ atMs, what: `${order} must not be taken` });
+      const sameNumber = numbers.get(sent.revision) ?? order;
+      if (sameNumber !== order) violations.push({ atMs, what: `${sameNumber} and ${order} were both taken under ${sent.revision}` });
+      numbers.set(sent.revision, order);
       const sameBase = bases.get(sent.basedOn) ?? order;
-      if (sameBase !== order) complaints.push({ atMs, what: `${sameBase} and ${order} were both taken on ${sent.basedOn}` });
+      if (sameBase !== order) violations.push({ atMs, what: `${sameBase} and ${order} were both taken on ${sent.basedOn}` });
       bases.set(sent.basedOn, order);
     }
     // What was taken stays: no later read shows an older number.
-    for (const read of of(history, 'setupRead')) {
+    for (const read of of(history, 'configurationRead')) {
       const known = answers.filter((one) => one.outcome === 'taken' && one.atMs <= read.askedMs);
-      const newest = known.reduce((most, one) => Math.max(most, orders.get(one.order)?.mark ?? 0), 0);
-      if ((read.mark ?? 0) < newest)
-        complaints.push({ atMs: read.atMs, what: `read number ${read.mark ?? 0}, ${newest} was taken before` });
+      const newest = known.reduce((limit, one) => Math.max(limit, orders.get(one.order)?.revision ?? 0), 0);
+      if ((read.revision ?? 0) < newest)
+        violations.push({ atMs: read.atMs, what: `read number ${read.revision ?? 0}, ${newest} was taken before` });
     }
-    return { judged: answers.length, complaints };
+    return { judged: answers.length, violations };
   },
 };
--- a/testing/simulator/src/history/recoveryChecker.ts
+++ b/testing/simulator/src/history/recoveryChecker.ts
@@ -2,13 +2,13 @@
 import { of } from './of.js';
 
 /** So many of a kind must be expected in the window before its rate says anything. */
-const leastExpected = 4;
+const minExpected = 4;
 
 /** Judges each kind of work by itself: streams that are back must not hide lots that are not. */
 export const recoveryChecker: Checker = (history, bounds) => {
   const repaired = of(history, 'repaired').at(-1);
   const fault = of(history, 'faulted')[0];
-  if (repaired === undefined || fault === undefined) return { judged: 0, complaints: [] };
+  if (repaired === undefined || fault === undefined) return { judged: 0, violations: [] };
   const kinds = new Map(of(history, 'sent').map((sent) => [sent.key, sent.kind ?? 'whole']));
   const done = new Map<string, number[]>();
   const add = (kind: string, atMs: number): void => void done.set(kind, [...(done.get(kind) ?? []), atMs]);
@@ -16,26 +16,26 @@
   const seen = new Set<string>();
   for (const run of of(history, 'ran')) {
     // An item's run is the earliest sign from outside that lots move; each item counts once.
-    if (kinds.get(run.key) !== 'lot' || seen.has(run.key)) continue;
+    if (kinds.get(run.key) !== 'batch' || seen.has(run.key)) continue;
     seen.add(run.key);
-    add('lot', run.atMs);
+    add('batch', run.atMs);
   }
   const endMs = history.at(-1)?.atMs ?? 0;
   const fromMs = repaired.atMs + bounds.recoveryMs;
   let judged = 0;
-  const complaints = [...done].flatMap(([kind, times]) => {
+  const violations = [...done].flatMap(([kind, times]) => {
     const startMs = Math.min(...times);
     const rate = (beginMs: number, overMs: number): number =>
       times.filter((atMs) => atMs >= beginMs && atMs < overMs).length / Math.max(1, overMs - beginMs);
     const normal = rate(startMs, fault.atMs);
     // Lots come in bursts, so what follows the bound is taken as a whole.
-    const windowMs = kind === 'lot' ? endMs - fromMs : Math.min(bounds.aboutTwoMs, endMs - fromMs);
-    if (windowMs <= 0 || normal * windowMs < leastExpected) return [];
+    const windowMs = kind === 'batch' ? endMs - fromMs : Math.min(bounds.aboutTwoMs, endMs - fromMs);
+    if (windowMs <= 0 || normal * windowMs < minExpected) return [];
     judged += 1;
     const now = rate(fromMs, fromMs + windowMs);
     return now >= normal / 4
       ? []
       : [{ atMs: fromMs, what: `${kind}: ${(now / normal).toFixed(2)} of normal ${bounds.recoveryMs} ms after repair` }];
   });
-  return { judged, complaints };
+  return { judged, violations };
 };
--- a/testing/simulator/src/history/runsByKey.ts
+++ b/testing/simulator/src/history/runsByKey.ts
@@ -1,10 +1,10 @@
-import type { Happening } from './happening.js';
+import type { HistoryEvent } from './historyEvent.js';
 import { of } from './of.js';
 
-type Ran = Extract<Happening, { t: 'ran' }>;
+type Ran = Extract<HistoryEvent, { type: 'ran' }>;
 
 /** The runs of each task or item, in order. Items' runs carry the key `lot/item`. */
-export function runsByKey(history: readonly Happening[]): ReadonlyMap<string, readonly Ran[]> {
+export function runsByKey(history: readonly HistoryEvent[]): ReadonlyMap<string, readonly Ran[]> {
   const runs = new Map<string, Ran[]>();
   for (const run of of(history, 'ran')) {
     const known = runs.get(run.key);
