--- a/testing/simulator/src/history/shareChecker.ts
+++ b/testing/simulator/src/history/shareChecker.ts
@@ -1,6 +1,6 @@
 import type { Checker } from './checker.js';
-import type { Complaint } from './complaint.js';
-import type { Happening } from './happening.js';
+import type { Violation } from './violation.js';
+import type { HistoryEvent } from './historyEvent.js';
 import { of } from './of.js';
 import { runsByKey } from './runsByKey.js';
 
@@ -9,24 +9,24 @@
 
 interface Change {
   readonly atMs: number;
-  readonly branch: string;
+  readonly quota: string;
   readonly by: 1 | -1;
 }
 
 /** When each item began to wait and when it no longer did: from its lot's acceptance to its first run, or its lot's end. */
-function changesOf(history: readonly Happening[]): readonly Change[] {
+function changesOf(history: readonly HistoryEvent[]): readonly Change[] {
   const runs = runsByKey(history);
-  const ended = new Map(of(history, 'lotEnded').map((lot) => [lot.lot, lot.atMs]));
-  return of(history, 'lotAccepted')
-    .flatMap((lot) =>
-      lot.items.flatMap((item): Change[] => {
-        const ranMs = runs.get(`${lot.lot}/${item}`)?.[0]?.atMs ?? Number.POSITIVE_INFINITY;
-        const overMs = Math.min(ranMs, ended.get(lot.lot) ?? Number.POSITIVE_INFINITY);
-        return overMs <= lot.atMs
+  const ended = new Map(of(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
+  return of(history, 'batchAccepted')
+    .flatMap((batch) =>
+      batch.items.flatMap((item): Change[] => {
+        const ranMs = runs.get(`${batch.batch}/${item}`)?.[0]?.atMs ?? Number.POSITIVE_INFINITY;
+        const overMs = Math.min(ranMs, ended.get(batch.batch) ?? Number.POSITIVE_INFINITY);
+        return overMs <= batch.atMs
           ? []
           : [
-              { atMs: lot.atMs, branch: lot.branch, by: 1 },
-              { atMs: overMs, branch: lot.branch, by: -1 },
+              { atMs: batch.atMs, quota: batch.quota, by: 1 },
+              { atMs: overMs, quota: batch.quota, by: -1 },
             ];
       }),
     )
@@ -35,15 +35,15 @@
 
 /** The spans in which every branch had work waiting. Outside of them room is lent, and that is no overrun. */
 function spansOf(
-  history: readonly Happening[],
-  branches: readonly string[],
+  history: readonly HistoryEvent[],
+  quotas: readonly string[],
 ): readonly { readonly fromMs: number; readonly toMs: number }[] {
-  const waiting = new Map(branches.map((branch) => [branch, 0]));
+  const waiting = new Map(quotas.map((quota) => [quota, 0]));
   const spans: { fromMs: number; toMs: number }[] = [];
   let sinceMs: number | undefined;
-  for (const { atMs, branch, by } of changesOf(history)) {
+  for (const { atMs, quota, by } of changesOf(history)) {
     if (!Number.isFinite(atMs)) break;
-    if (waiting.has(branch)) waiting.set(branch, (waiting.get(branch) ?? 0) + by);
+    if (waiting.has(quota)) waiting.set(quota, (waiting.get(quota) ?? 0) + by);
     const all = [...waiting.values()].every((items) => items > 0);
     if (all) sinceMs ??= atMs;
     else if (sinceMs !== undefined) {
@@ -57,17 +57,17 @@
 
 /** By requests and by tokens, over every sliding minute in which all branches had work waiting. Judged are the runs in them. */
 export const shareChecker: Checker = (history, bounds) => {
-  const complaints: Complaint[] = [];
+  const violations: Violation[] = [];
   let judged = 0;
-  if (bounds.shares.size === 0) return { judged, complaints };
+  if (bounds.shares.size === 0) return { judged, violations };
   for (const { fromMs, toMs } of spansOf(history, [...bounds.shares.keys()])) {
     if (toMs - fromMs < minuteMs) continue;
-    for (const [branch, share] of bounds.shares) {
+    for (const [quota, share] of bounds.shares) {
       const runs = of(history, 'ran').filter(
-        (run) => run.branch === branch && run.key.includes('/') && run.atMs >= fromMs && run.atMs <= toMs,
+        (run) => run.quota === quota && run.key.includes('/') && run.atMs >= fromMs && run.atMs <= toMs,
       );
       judged += runs.length;
-      const tokensOf = (place: number): number => (runs[place]?.bytes ?? 0) / bounds.bytesPerToken;
+      const tokensOf = (position: number): number => (runs[position]?.bytes ?? 0) / bounds.bytesPerToken;
       let tokens = 0;
       for (let first = 0, last = 0; last < runs.length; last += 1) {
         tokens += tokensOf(last);
@@ -80,13 +80,13 @@
               ? `${Math.round(tokens)} tokens`
               : undefined;
         if (over === undefined) continue;
-        complaints.push({
+        violations.push({
           atMs: runs[last]?.atMs ?? 0,
-          what: `${branch}: ${over} in a minute, its share is ${share.requests} and ${share.tokens}`,
+          what: `${quota}: ${over} in a minute, its share is ${share.requests} and ${share.tokens}`,
         });
         break;
       }
     }
   }
-  return { judged, complaints };
+  return { judged, violations };
 };
--- a/testing/simulator/src/history/unreadableSpans.ts
+++ b/testing/simulator/src/history/unreadableSpans.ts
@@ -1,22 +1,22 @@
-import type { Happening } from './happening.js';
+import type { HistoryEvent } from './historyEvent.js';
 import { of } from './of.js';
 
-type Read = Extract<Happening, { t: 'lotRead' }>;
+type Read = Extract<HistoryEvent, { type: 'batchRead' }>;
 
 interface Span {
-  readonly lot: string;
+  readonly batch: string;
   /** When somebody asked, and how long it was until anybody who asked for this lot could read it. */
   readonly atMs: number;
   readonly waitedMs: number;
 }
 
 /** For each accepted lot the longest that its leaders asked in vain, from `readableMs` after its acceptance on. */
-export function unreadableSpans(history: readonly Happening[], readableMs: number): readonly Span[] {
+export function unreadableSpans(history: readonly HistoryEvent[], readableMs: number): readonly Span[] {
   const endMs = history.at(-1)?.atMs ?? 0;
   const reads = new Map<string, Read[]>();
-  for (const read of of(history, 'lotRead')) reads.set(read.lot, [...(reads.get(read.lot) ?? []), read]);
-  return of(history, 'lotAccepted').flatMap((accepted) => {
-    const own = reads.get(accepted.lot) ?? [];
+  for (const read of of(history, 'batchRead')) reads.set(read.batch, [...(reads.get(read.batch) ?? []), read]);
+  return of(history, 'batchAccepted').flatMap((accepted) => {
+    const own = reads.get(accepted.batch) ?? [];
     const good = own.filter((read) => read.found === 'yes').map((read) => read.atMs);
     let worst: Span | undefined;
     for (const read of own) {
@@ -24,7 +24,7 @@
       // Reads that fail after the last good one count up to the last that was tried.
       const untilMs = good.find((atMs) => atMs >= fromMs) ?? Math.min(endMs, own.at(-1)?.atMs ?? endMs);
       const waitedMs = untilMs - fromMs;
-      if (waitedMs > (worst?.waitedMs ?? 0)) worst = { lot: accepted.lot, atMs: fromMs, waitedMs };
+      if (waitedMs > (worst?.waitedMs ?? 0)) worst = { batch: accepted.batch, atMs: fromMs, waitedMs };
     }
     return worst === undefined ? [] : [worst];
   });
--- a/testing/simulator/src/history/verdict.ts
+++ b/testing/simulator/src/history/verdict.ts
@@ -1,8 +1,8 @@
-import type { Complaint } from './complaint.js';
+import type { Violation } from './violation.js';
 
 /** What a rule's checker found, and how much there was to judge: a rule with nothing to judge is not kept, it is not judged. */
 export interface Verdict {
   readonly rule: string;
   readonly judged: number;
-  readonly complaints: readonly Complaint[];
+  readonly violations: readonly Violation[];
 }
--- a/testing/simulator/src/history/complaint.ts
+++ b/testing/simulator/src/history/violation.ts
@@ -1,5 +1,5 @@
 /** What a checker holds against a history. */
-export interface Complaint {
+export interface Violation {
   readonly atMs: number;
   readonly what: string;
 }
--- a/testing/simulator/src/hollow/hollow.ts
+++ b/testing/simulator/src/hollow/hollow.ts
@@ -64,10 +64,10 @@
     if (front !== undefined) heard.push(await fleet.spread(front, `probe/${probe}`, patienceMs));
   }
   say(`a word of a front is everywhere after ${spanOf(heard)}`);
-  const setups: { readonly inForceMs: number; readonly heardMs: number | undefined }[] = [];
-  for (let probe = 0; probe < probes; probe += 1) setups.push(await fleet.confirm(101 + probe, patienceMs));
-  const heardMs = spanOf(setups.map((one) => one.heardMs));
-  say(`a setup is everywhere after ${heardMs}, in force after ${spanOf(setups.map((one) => one.inForceMs))}`);
+  const configurations: { readonly inForceMs: number; readonly heardMs: number | undefined }[] = [];
+  for (let probe = 0; probe < probes; probe += 1) configurations.push(await fleet.confirm(101 + probe, patienceMs));
+  const heardMs = spanOf(configurations.map((one) => one.heardMs));
+  say(`a setup is everywhere after ${heardMs}, in force after ${spanOf(configurations.map((one) => one.inForceMs))}`);
   return losses ? hollowLosses(fleet, patienceMs, equal && running === 0, say) : true;
 }
 
--- a/testing/simulator/src/hollow/hollowSetup.ts
+++ b/testing/simulator/src/hollow/hollowConfiguration.ts
@@ -1,7 +1,7 @@
 import type { HollowPlace } from './hollowPlace.js';
 
 /** A setup for a hollow fleet: one service, its controllers and its first stores. */
-export function hollowSetup(places: readonly HollowPlace[], outputTokens: number): Record<string, unknown> {
+export function hollowConfiguration(places: readonly HollowPlace[], outputTokens: number): Record<string, unknown> {
   const placed = (role: HollowPlace['role']): Record<string, unknown> =>
     Object.fromEntries(
       places.filter((place) => place.role === role).map((place) => [place.name, { address: place.address, zone: place.zone }]),
@@ -9,11 +9,11 @@
   return {
     ceiling: { requests: 60_000, tokens: 60_000_000 },
     bounds: { fronts: places.filter((place) => place.role === 'agent').length },
-    services: { m: { kind: 'streamed', repeatable: true, replicas: { maxSlots: 16 }, outputTokens } },
-    branches: { all: { share: 1 } },
+    services: { m: { kind: 'streamed', idempotent: true, replicas: { maxSlots: 16 }, outputTokens } },
+    quotas: { all: { share: 1 } },
     controllers: placed('controller'),
     stores: placed('store'),
-    lotShards: 4,
+    batchShards: 4,
     copies: places.length < 20 ? 1 : 3,
   };
 }
--- a/testing/simulator/src/hollow/hollowFleet.ts
+++ b/testing/simulator/src/hollow/hollowFleet.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import * as v from 'valibot';
-import type { NodeName } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
 import type { HollowOptions } from './hollowOptions.js';
 import type { HollowOrder } from './hollowOrder.js';
 import type { HollowPlace } from './hollowPlace.js';
@@ -36,7 +36,7 @@
   static async begin(options: Omit<HollowOptions, 'folder'>): Promise<HollowFleet> {
     const fleet = new HollowFleet({ ...options, folder: await mkdtemp(join(tmpdir(), 'hollow-')) });
     for (let worker = 0; worker < workers; worker += 1) fleet.#children.push(fleet.#fork());
-    await Promise.all(fleet.#children.map((_, worker) => fleet.#order(worker, { t: 'begin', worker, options: fleet.#options })));
+    await Promise.all(fleet.#children.map((_, worker) => fleet.#order(worker, { kind: 'begin', worker, options: fleet.#options })));
     return fleet;
   }
 
@@ -62,7 +62,7 @@
     const words = await Promise.all(
       this.#children.map((_, worker) =>
         this.#order(worker, {
-          t,
+          kind: t,
           names: this.places.filter((place) => place.worker === worker && names.includes(place.name)).map((place) => place.name),
         }),
       ),
@@ -71,20 +71,20 @@
   }
 
   async part(regions: readonly number[]): Promise<number> {
-    const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { t: 'part', regions: [...regions] })));
+    const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { kind: 'part', regions: [...regions] })));
     return Math.max(...words.map((word) => word.atMs ?? 0));
   }
 
   /** Puts a word on one board. Returns how long it took until every node that is here heard it. */
   async spread(name: NodeName, key: string, patienceMs: number): Promise<number | undefined> {
     const worker = this.places.find((place) => place.name === name)?.worker ?? 0;
-    const { atMs = 0 } = await this.#order(worker, { t: 'put', name, key });
+    const { atMs = 0 } = await this.#order(worker, { kind: 'put', name, key });
     return this.#heard(key, atMs, patienceMs);
   }
 
   /** Confirms a setup: how long until it is in force, and until every node heard it. */
   async confirm(outputTokens: number, patienceMs: number) {
-    const word = await this.#order(0, { t: 'confirm', outputTokens });
+    const word = await this.#order(0, { kind: 'confirm', outputTokens });
     const heardMs = await this.#heard(`setup/${word.counts?.['version'] ?? 0}`, word.atMs ?? 0, patienceMs);
     return { inForceMs: word.counts?.['tookMs'] ?? 0, heardMs };
   }
@@ -103,12 +103,12 @@
   }
 
   async views() {
-    const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { t: 'view' })));
+    const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { kind: 'view' })));
     return words.flatMap((word) => word.views ?? []);
   }
 
   meters(): Promise<readonly HollowWord[]> {
-    return Promise.all(this.#children.map((_, worker) => this.#order(worker, { t: 'meter' })));
+    return Promise.all(this.#children.map((_, worker) => this.#order(worker, { kind: 'meter' })));
   }
 
   #name(text: string): NodeName {
@@ -119,7 +119,7 @@
 
   async #heard(key: string, atMs: number, patienceMs: number): Promise<number | undefined> {
     for (;;) {
-      const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { t: 'arrivals', key })));
+      const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { kind: 'arrivals', key })));
       const times = words.flatMap((word) => Object.values(word.arrivals ?? {})).map((one) => one - atMs);
       if (times.length >= this.places.length - this.#away.size) return Math.max(...times);
       if (monotonicMs() - atMs > patienceMs) return undefined;
@@ -146,7 +146,7 @@
       this.#waiting.set(id, resolve);
       this.#children[worker]?.send({ id, order });
     });
-    if (word.failed !== undefined) throw new Error(`${order.t}: ${word.failed}`);
+    if (word.failed !== undefined) throw new Error(`${order.kind}: ${word.failed}`);
     return word;
   }
 }
--- a/testing/simulator/src/hollow/hollowLosses.ts
+++ b/testing/simulator/src/hollow/hollowLosses.ts
@@ -1,5 +1,5 @@
 import { NodePlaces, relayTree } from '@pewterlanding/membership';
-import type { NodeName } from '@pewterlanding/runtime';
+import type { NodeName } from '@pewterlanding/model';
 import type { HollowFleet } from './hollowFleet.js';
 import type { HollowWord } from './hollowWord.js';
 import { monotonicMs } from './monotonicMs.js';
@@ -12,8 +12,8 @@
   const [last] = fleet.names((place) => place.role === 'agent').slice(-1);
   const rack = fleet.places.at(-1)?.rack;
   const zone = fleet.places.at(-1)?.zone;
-  const cards = fleet.places.map(({ name, role, zone: of, address }) => ({ name, role, zone: of, address, state: 'here' as const }));
-  const parents = relayTree(cards, new NodePlaces());
+  const nodeRecords = fleet.places.map(({ name, role, zone: of, address }) => ({ name, role, zone: of, address, state: 'here' as const }));
+  const parents = relayTree(nodeRecords, new NodePlaces());
   const root = [...parents].flatMap(([name, parent]) => (parent === undefined ? [name] : []));
   const heads = fleet.names((place) => parents.get(place.name) === root[0] && place.role === 'agent');
   const losses: readonly (readonly [string, 'leave' | 'kill', readonly NodeName[]])[] = [
@@ -31,11 +31,11 @@
     const known = await fleet.agree(await fleet.act(how, names), patienceMs, equal);
     // What left closes its sockets too, or it would still be dialled.
     if (how === 'leave') await fleet.act('kill', names);
-    const back = await fleet.agree(await fleet.act('start', names), patienceMs, equal);
+    const response = await fleet.agree(await fleet.act('start', names), patienceMs, equal);
     const bytes = between(before, await fleet.meters()) / fleet.places.length;
-    const times = `known to all after ${spanOf([known])}; back with all after ${spanOf([back])}`;
+    const times = `known to all after ${spanOf([known])}; back with all after ${spanOf([response])}`;
     say(`${what} (${names.length} of ${fleet.places.length}): ${times}; ${Math.round(bytes)} bytes a node`);
-    kept &&= known !== undefined && back !== undefined;
+    kept &&= known !== undefined && response !== undefined;
   }
   return (await parted(fleet, patienceMs, equal, say)) && kept;
 }
@@ -46,7 +46,7 @@
   const cutMs = await fleet.part(far);
   await new Promise((resolve) => setTimeout(resolve, patienceMs * partedRatio));
   const views = await fleet.views();
-  const lives = [...new Set(views.map((view) => view.live))].sort((a, b) => a - b);
+  const instances = [...new Set(views.map((view) => view.live))].sort((a, b) => a - b);
   for (const side of [true, false]) {
     const [at] = fleet.names((place) => place.role === 'agent' && far.includes(place.region) === side);
     if (at !== undefined) await fleet.spread(at, `probe/side-${String(side)}`, 1);
@@ -56,7 +56,7 @@
   const whole = await fleet.agree(await fleet.part([]), patienceMs, equal);
   const bytes = between(before, await fleet.meters()) / fleet.places.length;
   say(
-    `regions ${far.join(', ')} parted for ${Math.round(partedMs)} ms, sides held ${lives.join(' and ')} to be here; ` +
+    `regions ${far.join(', ')} parted for ${Math.round(partedMs)} ms, sides held ${instances.join(' and ')} to be here; ` +
       `whole again after ${spanOf([whole])}, ${Math.round(bytes)} bytes a node`,
   );
   return whole !== undefined;
--- a/testing/simulator/src/hollow/hollowNode.ts
+++ b/testing/simulator/src/hollow/hollowNode.ts
@@ -1,14 +1,15 @@
 import { join } from 'node:path';
-import { Agent, agentCalls, newsKeys } from '@pewterlanding/agent';
-import { Controller, OperatorDesk } from '@pewterlanding/controller';
+import { Agent, agentCalls, updateKeys } from '@pewterlanding/agent';
+import { Controller, OperatorApi } from '@pewterlanding/controller';
 import { Membership } from '@pewterlanding/membership';
-import type { News } from '@pewterlanding/membership';
-import { addressParts, Counters, every, NodeDisk, quietLog, SystemClock, TcpWire } from '@pewterlanding/runtime';
-import type { Address } from '@pewterlanding/runtime';
+import type { Update } from '@pewterlanding/membership';
+import { addressParts } from '@pewterlanding/model';
+import { Counters, every, NodeDisk, quietLog, SystemClock, TcpTransport } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 import { BatchStore } from '@pewterlanding/store';
 import type { HollowOptions } from './hollowOptions.js';
 import type { HollowPlace } from './hollowPlace.js';
-import { PartedWire } from './partedWire.js';
+import { PartedTransport } from './partedTransport.js';
 
 interface HollowNodeOptions {
   readonly place: HollowPlace;
@@ -16,7 +17,7 @@
   readonly seeds: readonly Address[];
   readonly passes: (to: Address) => boolean;
   readonly sent: (call: string) => void;
-  readonly heard: (news: News) => void;
+  readonly heard: (update: Update) => void;
 }
 
 /** One node with all its control logic and nobody to serve: the shipped classes over real sockets. */
@@ -24,12 +25,12 @@
   readonly place: HollowPlace;
   readonly membership: Membership;
   readonly counters = new Counters();
-  readonly desk: OperatorDesk | undefined;
+  readonly operatorApi: OperatorApi | undefined;
   readonly #options: HollowNodeOptions;
-  readonly #wires: TcpWire[] = [];
+  readonly #wires: TcpTransport[] = [];
   readonly #closes: (() => void)[] = [];
   readonly #ready: Promise<unknown>;
-  #beats = 0;
+  #heartbeats = 0;
 
   constructor(options: HollowNodeOptions) {
     this.#options = options;
@@ -37,33 +38,33 @@
     const { heartbeatMs, failureTimeoutMs, folder } = options.options;
     this.place = place;
     const clock = new SystemClock();
-    const wire = this.#wire(place.address);
+    const transport = this.#transport(place.address);
     const { counters } = this;
     const log = quietLog;
     this.membership = new Membership({
-      card: { name: place.name, role: place.role, zone: place.zone, address: place.address },
+      nodeRecord: { name: place.name, role: place.role, zone: place.zone, address: place.address },
       seeds,
       clock,
-      wire,
+      transport,
       bounds: { heartbeatMs, failureTimeoutMs, watchers: 3 },
       counters,
       log,
     });
-    this.membership.onNews((news) => options.heard(news));
+    this.membership.onUpdate((update) => options.heard(update));
     const { membership } = this;
     const bounds = { failureTimeoutMs, compactBytes: 16 << 20 };
     const disk = new NodeDisk(join(folder, place.name));
-    const shared = { membership, clock, wire, disk, bounds, counters, log, fatal: (error: unknown) => console.error(error) };
+    const shared = { membership, clock, transport, disk, bounds, counters, log, fatal: (error: unknown) => console.error(error) };
     if (place.role === 'agent') {
       this.#stand(heartbeatMs);
-      const agent = new Agent({ membership, clock, wire, proxy: place.proxy, heartbeatMs, counters, log });
+      const agent = new Agent({ membership, clock, transport, proxy: place.proxy, heartbeatMs, counters, log });
       this.#closes.push(() => agent.close());
     } else if (place.role === 'store') {
       const store = new BatchStore(shared);
       this.#closes.push(() => store.close());
     } else {
       const controller = new Controller({ ...shared, heartbeatMs, seeds });
-      this.desk = new OperatorDesk({ finder: controller.finder, clock, waitMs: failureTimeoutMs * 15 });
+      this.operatorApi = new OperatorApi({ finder: controller.finder, clock, waitMs: failureTimeoutMs * 15 });
       this.#closes.push(() => controller.close());
       void controller.start().catch((error: unknown) => console.error(error));
     }
@@ -78,40 +79,40 @@
   kill(): void {
     for (const close of this.#closes) close();
     this.membership.close();
-    for (const wire of this.#wires) wire.close();
+    for (const transport of this.#wires) transport.close();
   }
 
-  #wire(here: Address): PartedWire {
+  #transport(here: Address): PartedTransport {
     const clock = new SystemClock();
-    const wire = new TcpWire({ here, listen: here, fleet: 'hollow', clock, counters: this.counters });
-    this.#wires.push(wire);
-    return new PartedWire({ wire, clock, passes: this.#options.passes, sent: this.#options.sent });
+    const transport = new TcpTransport({ here, listen: here, fleet: 'hollow', clock, counters: this.counters });
+    this.#wires.push(transport);
+    return new PartedTransport({ transport, clock, passes: this.#options.passes, sent: this.#options.sent });
   }
 
   /** The proxy as its agent sees it: takes what it is fed, has some use, and passes on its replicas' announcements. */
   #stand(heartbeatMs: number): void {
     const { place, options } = this.#options;
     const clock = new SystemClock();
-    const wire = this.#wire(place.proxy);
-    const life = `${place.name} ${Math.floor(clock.wallMs())}`;
+    const transport = this.#transport(place.proxy);
+    const instance = `${place.name} ${Math.floor(clock.wallMs())}`;
     let version = 0;
-    wire.serve(agentCalls.feed, async ({ news }) => {
-      for (const one of news) if (one.key === newsKeys.setup) version = one.version[0];
-      const stamp = { life, atMs: clock.nowMs() };
-      return { life, version, checksum: this.membership.board.checksum, stamp, use: this.#use() };
+    transport.serve(agentCalls.feed, async ({ updates }) => {
+      for (const one of updates) if (one.key === updateKeys.configuration) version = one.version[0];
+      const clockReading = { instance, atMs: clock.nowMs() };
+      return { instance, version, checksum: this.membership.stateTable.checksum, clockReading, use: this.#use() };
     });
     const { host } = addressParts(place.address);
     const incarnation = Math.floor(clock.wallMs());
     let turn = 0;
     const announce = (): void => {
-      const news = Array.from({ length: options.replicas }, (_, at): News => {
+      const updates = Array.from({ length: options.replicas }, (_, at): Update => {
         const address = `${host}:${9000 + at}`;
         const value = { service: 'm', address, zone: place.zone, slots: 16, incarnation, state: 'serving' };
-        return { key: newsKeys.replica('m', address), version: [incarnation, turn], volatile: false, value };
+        return { key: updateKeys.replica('m', address), version: [incarnation, turn], volatile: false, value };
       });
       turn += 1;
       // One word each, as they would come.
-      for (const one of news) wire.tell(place.address, agentCalls.tell, { news: [one] });
+      for (const one of updates) transport.tell(place.address, agentCalls.tell, { updates: [one] });
     };
     if (options.replicas === 0) return;
     this.#closes.push(clock.after(heartbeatMs, announce));
@@ -120,8 +121,8 @@
 
   #use(): Record<string, number> {
     const { running, size } = this.#options.options;
-    this.#beats += 1;
-    const at = (step: number): string => `127.0.${(this.#beats * 7 + step) % 250}.${(step * 31) % size}:9000`;
-    return Object.fromEntries(Array.from({ length: running }, (_, step) => [at(step), 1 + (this.#beats % 3)]));
+    this.#heartbeats += 1;
+    const at = (step: number): string => `127.0.${(this.#heartbeats * 7 + step) % 250}.${(step * 31) % size}:9000`;
+    return Object.fromEntries(Array.from({ length: running }, (_, step) => [at(step), 1 + (this.#heartbeats % 3)]));
   }
 }
--- a/testing/simulator/src/hollow/hollowOptions.ts
+++ b/testing/simulator/src/hollow/hollowOptions.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/runtime';
+import { Count } from '@pewterlanding/model';
 
 /** A hollow fleet: how many nodes, and what goes on in it. */
 export const HollowOptions = v.strictObject({
--- a/testing/simulator/src/hollow/hollowPlace.ts
+++ b/testing/simulator/src/hollow/hollowPlace.ts
@@ -1,10 +1,10 @@
-import type { Card } from '@pewterlanding/membership';
-import type { Address, NodeName, ZoneName } from '@pewterlanding/runtime';
+import type { NodeRecord } from '@pewterlanding/membership';
+import type { Address, NodeName, ZoneName } from '@pewterlanding/model';
 
 /** Where one node of a hollow fleet stands, and which process plays it. */
 export interface HollowPlace {
   readonly name: NodeName;
-  readonly role: Card['role'];
+  readonly role: NodeRecord['role'];
   readonly zone: ZoneName;
   readonly region: number;
   readonly rack: string;
--- a/testing/simulator/src/hollow/hollowPlaces.ts
+++ b/testing/simulator/src/hollow/hollowPlaces.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { Address, NodeName, ZoneName } from '@pewterlanding/runtime';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
 import type { HollowPlace } from './hollowPlace.js';
 
 /** Zones of each region. */
@@ -13,19 +13,19 @@
   // Neighbours in the list stand in different regions, so that controllers do.
   const stride = zones === 10 ? 3 : 1;
   const stores = Math.ceil(size / 12);
-  return Array.from({ length: size }, (_, place) => {
-    const zone = (place * stride) % zones;
-    const role = place < controllers ? 'controller' : place < controllers + stores ? 'store' : 'agent';
-    const host = `127.${net}.${20 + Math.floor(place / 200)}.${(place % 200) + 1}`;
+  return Array.from({ length: size }, (_, position) => {
+    const zone = (position * stride) % zones;
+    const role = position < controllers ? 'controller' : position < controllers + stores ? 'store' : 'agent';
+    const host = `127.${net}.${20 + Math.floor(position / 200)}.${(position % 200) + 1}`;
     return {
-      name: v.parse(NodeName, `${role}-${place}`),
+      name: v.parse(NodeName, `${role}-${position}`),
       role,
       zone: v.parse(ZoneName, `z${zone}`),
       region: zones === 3 ? zone : regionOf(zone),
-      rack: `z${zone}-${Math.floor(Math.floor(place / zones) / rackSize)}`,
+      rack: `z${zone}-${Math.floor(Math.floor(position / zones) / rackSize)}`,
       address: v.parse(Address, `${host}:7000`),
       proxy: v.parse(Address, `${host}:7001`),
-      worker: role === 'agent' ? 1 + (place % frontWorkers) : 0,
+      worker: role === 'agent' ? 1 + (position % frontWorkers) : 0,
     };
   });
 }
--- a/testing/simulator/src/hollow/hollowWorker.ts
+++ b/testing/simulator/src/hollow/hollowWorker.ts
@@ -1,14 +1,15 @@
 import * as v from 'valibot';
 import { Proposal } from '@pewterlanding/controller';
-import { addressParts, errorLine, PlanId } from '@pewterlanding/runtime';
-import type { Address, NodeName } from '@pewterlanding/runtime';
+import { addressParts, PlanId } from '@pewterlanding/model';
+import { errorLine } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import { HollowNode } from './hollowNode.js';
 import type { HollowOptions } from './hollowOptions.js';
 import { HollowOrder } from './hollowOrder.js';
 import type { HollowPlace } from './hollowPlace.js';
 import { hollowPlaces } from './hollowPlaces.js';
-import { hollowSetup } from './hollowSetup.js';
+import { hollowConfiguration } from './hollowConfiguration.js';
 import type { HollowWord } from './hollowWord.js';
 import { monotonicMs } from './monotonicMs.js';
 import { SocketMeter } from './socketMeter.js';
@@ -59,7 +60,7 @@
 }
 
 async function obey(order: HollowOrder): Promise<HollowWord> {
-  switch (order.t) {
+  switch (order.kind) {
     case 'begin': {
       here = order.options;
       places = hollowPlaces(here.size, here.controllers, here.net);
@@ -99,8 +100,8 @@
         views: [...nodes.values()].map(({ membership, place }) => ({
           name: place.name,
           live: membership.live().length,
-          checksum: membership.board.checksum,
-          keys: [...membership.board.withPrefix('')].length,
+          checksum: membership.stateTable.checksum,
+          keys: [...membership.stateTable.withPrefix('')].length,
         })),
       };
     case 'meter':
@@ -111,14 +112,14 @@
 }
 
 async function confirm(outputTokens: number): Promise<HollowWord> {
-  const desk = [...nodes.values()].find((node) => node.desk !== undefined)?.desk;
-  if (desk === undefined) throw new Error('no controller here');
+  const operatorApi = [...nodes.values()].find((node) => node.operatorApi !== undefined)?.operatorApi;
+  if (operatorApi === undefined) throw new Error('no controller here');
   plans += 1;
   const id = v.parse(PlanId, `plan-${plans}`);
   const atMs = monotonicMs();
-  const made = await desk.plan(id, v.parse(Proposal, { whole: hollowSetup(places, outputTokens) }));
+  const made = await operatorApi.plan(id, v.parse(Proposal, { whole: hollowConfiguration(places, outputTokens) }));
   if (made.plan === undefined) throw new Error(made.findings.map((one) => `${one.place} ${one.message}`).join('; '));
-  const { outcome, inForce } = await desk.confirm(id, true);
+  const { outcome, inForce } = await operatorApi.confirm(id, true);
   if (outcome.outcome !== 'confirmed' || !inForce) throw new Error(`${outcome.outcome}, in force: ${String(inForce)}`);
   return { atMs, counts: { version: outcome.version, tookMs: monotonicMs() - atMs } };
 }
--- a/testing/simulator/src/main.ts
+++ b/testing/simulator/src/main.ts
@@ -3,11 +3,12 @@
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import meow from 'meow';
-import { errorLine, FindingsError, seededRandom } from '@pewterlanding/runtime';
-import type { Finding } from '@pewterlanding/runtime';
+import { FindingsError } from '@pewterlanding/model';
+import { errorLine, seededRandom } from '@pewterlanding/runtime';
+import type { Finding } from '@pewterlanding/model';
+import { mutations } from './mutation/mutations.js';
+import { runMutations } from './mutation/runMutations.js';
 import { digest } from './digest/digest.js';
-import { guards } from './guards/guards.js';
-import { runGuards } from './guards/runGuards.js';
 import { verdictLine } from './history/verdictLine.js';
 import { hollow } from './hollow/hollow.js';
 import { chaos } from './real/chaos.js';
@@ -92,7 +93,7 @@
 const say = (line: string): void => console.log(line);
 const trace = flags.trace ? { trace: say } : {};
 const seeds = Array.from({ length: flags.seeds }, (_, step) => flags.seed + step);
-const given = flags.faults?.split(',').filter((one) => one !== '');
+const granted = flags.faults?.split(',').filter((one) => one !== '');
 
 const sizes = word === 'hollow' ? (name?.split(',').map(Number) ?? [7, 20, 61, 120, 350]) : [];
 
@@ -110,10 +111,10 @@
     found.push({ place: 'NAME', message: `no scenario ${name ?? ''}; there are ${Object.keys(scenarios).join(', ')}` });
   }
   for (const one of word === 'guards' ? (name?.split(',') ?? []) : []) {
-    if (!guards.some((guard) => guard.name === one))
-      found.push({ place: 'NAME', message: `no guard ${one}; there are ${guards.map((guard) => guard.name).join(', ')}` });
+    if (!mutations.some((mutation) => mutation.name === one))
+      found.push({ place: 'NAME', message: `no guard ${one}; there are ${mutations.map((mutation) => mutation.name).join(', ')}` });
   }
-  for (const one of given ?? [])
+  for (const one of granted ?? [])
     if (!known.includes(one)) found.push({ place: '--faults', message: `no fault ${one}; there are ${known.join(', ')}` });
   if (word === 'hollow' && sizes.some((size) => !Number.isInteger(size) || size < 7 || size > 400))
     found.push({ place: 'N', message: 'must be whole numbers from 7 to 400' });
@@ -132,7 +133,7 @@
     process.once('SIGTERM', stop);
   });
   await fleet.start();
-  await fleet.confirm({ whole: read.setup }, true);
+  await fleet.confirm({ whole: read.configuration }, true);
   await fleet.open();
   say(`fronts  ${fleet.fronts().join(' ')}\nhearts  ${fleet.controllers().join(',')}\nlogs    ${data}\nstop with Ctrl-C`);
   return stopped;
@@ -140,21 +141,21 @@
 
 async function run(place: string): Promise<boolean> {
   // Large and long ones are asked for by name.
-  const drawable = Object.keys(chaos).filter((one) => !['rollFleet', 'largeSetup', 'floodLots', 'powerCut'].includes(one));
+  const drawable = Object.keys(chaos).filter((one) => !['rollFleet', 'largeConfiguration', 'floodBatches', 'powerCut'].includes(one));
   const random = seededRandom(flags.seed ^ 0x5eed);
   const drawn = Array.from({ length: flags.draw }, () => drawable[Math.floor(random() * drawable.length)] ?? 'killFront');
-  return fleetDay({ folder: place, data, seconds: flags.seconds, seed: flags.seed, faults: given ?? drawn, say });
+  return fleetDay({ folder: place, data, seconds: flags.seconds, seed: flags.seed, faults: granted ?? drawn, say });
 }
 
 async function sim(): Promise<boolean> {
   let kept = true;
   for (const seed of seeds) {
-    const day = await simDay({ seed, faults: given, deployment: flags.deployment, ...trace });
+    const day = await simDay({ seed, faults: granted, deployment: flags.deployment, ...trace });
     const told = Object.entries(day.told).map(([outcome, count]) => `${outcome} ${count}`);
-    say(`seed ${seed}: ${day.faults.join(',')}; ${told.join(', ')}; ${day.events} events; ${day.complaints.length} complaints`);
+    say(`seed ${seed}: ${day.faults.join(',')}; ${told.join(', ')}; ${day.events} events; ${day.violations.length} complaints`);
     if (day.unfinished > 0) say(`  ${day.unfinished} lots did not come to an end`);
-    for (const complaint of day.complaints.slice(0, 20)) say(`  ${Math.round(complaint.atMs)} ${complaint.rule}: ${complaint.what}`);
-    kept &&= day.complaints.length === 0 && day.unfinished === 0;
+    for (const violation of day.violations.slice(0, 20)) say(`  ${Math.round(violation.atMs)} ${violation.rule}: ${violation.what}`);
+    kept &&= day.violations.length === 0 && day.unfinished === 0;
   }
   return kept;
 }
@@ -164,9 +165,9 @@
   const all: { readonly seed: number; readonly rule: string; readonly judged: number; readonly broken: number }[] = [];
   for (const seed of seeds) {
     const { verdicts } = await simScenario(which, seed, flags.trace ? say : undefined);
-    all.push(...verdicts.map(({ rule, judged, complaints }) => ({ seed, rule, judged, broken: complaints.length })));
+    all.push(...verdicts.map(({ rule, judged, violations }) => ({ seed, rule, judged, broken: violations.length })));
     if (!flags.json) for (const verdict of verdicts) say(`seed ${seed}: ${verdictLine(verdict)}`);
-    kept &&= verdicts.every(({ complaints }) => complaints.length === 0);
+    kept &&= verdicts.every(({ violations }) => violations.length === 0);
   }
   if (flags.json) say(JSON.stringify(all));
   return kept;
@@ -174,9 +175,11 @@
 
 async function takeOut(): Promise<boolean> {
   const named = name?.split(',');
-  const chosen = guards.filter((guard) => (named === undefined || named.includes(guard.name)) && (!flags.ci || guard.ci === true));
+  const chosen = mutations.filter(
+    (mutation) => (named === undefined || named.includes(mutation.name)) && (!flags.ci || mutation.ci === true),
+  );
   const root = join(dirname(fileURLToPath(import.meta.url)), '../../../..');
-  const outcomes = await runGuards(root, chosen, say);
+  const outcomes = await runMutations(root, chosen, say);
   say(`${outcomes.filter((one) => one.held).length} of ${outcomes.length} guards hold`);
   return outcomes.every((one) => one.held);
 }
--- a/testing/simulator/src/model/contentOf.ts
+++ b/testing/simulator/src/model/contentOf.ts
@@ -1,15 +1,15 @@
 import * as v from 'valibot';
-import type { Setup } from '@pewterlanding/runtime';
+import type { Configuration } from '@pewterlanding/model';
 import type { RegisterContent } from './registerContent.js';
 
-const Words = v.object({ token: v.string() });
+const SourceDocument = v.object({ token: v.string() });
 
 /** What the model looks at of a configuration that was read. */
-export function contentOf(setup: Setup | undefined): RegisterContent {
-  const words = v.safeParse(Words, setup?.words);
+export function contentOf(configuration: Configuration | undefined): RegisterContent {
+  const source = v.safeParse(SourceDocument, configuration?.sourceDocument);
   return {
-    mark: setup?.mark ?? 0,
-    token: words.success ? words.output.token : '',
-    services: Object.keys(setup?.services ?? {}).sort(),
+    revision: configuration?.revision ?? 0,
+    token: source.success ? source.output.token : '',
+    services: Object.keys(configuration?.services ?? {}).sort(),
   };
 }
--- a/testing/simulator/src/model/explore.ts
+++ b/testing/simulator/src/model/explore.ts
@@ -6,7 +6,7 @@
   readonly scope: ExplorationScope;
   /** So many actions deep from the group at rest. */
   readonly depth: number;
-  readonly mostStates: number;
+  readonly maxStates: number;
   /** One in so many ways is followed on until the group serves again. */
   readonly settleEvery: number;
 }
@@ -24,7 +24,7 @@
 }
 
 /** Where a way leaves one that was followed before. */
-interface Branch {
+interface Quota {
   readonly way: readonly ExploredAction[];
 }
 
@@ -34,21 +34,21 @@
  * depend on each other are not told apart by their order. Each way is played from the beginning, for the shipped classes can't be
  * taken back.
  */
-export async function explore({ scope, depth, mostStates, settleEvery }: ExploreOptions): Promise<Explored> {
+export async function explore({ scope, depth, maxStates, settleEvery }: ExploreOptions): Promise<Explored> {
   const seen = new Set<string>();
-  const branches: Branch[] = [{ way: [] }];
+  const quotas: Quota[] = [{ way: [] }];
   let ways = 0;
   let settled = 0;
   let cut = false;
   const result = (stopped: Explored['stopped']): Explored => ({ scope: scope.name, states: seen.size, ways, settled, depth, stopped });
-  for (let branch = branches.pop(); branch !== undefined; branch = branches.pop()) {
-    if (seen.size >= mostStates) return result('states');
+  for (let quota = quotas.pop(); quota !== undefined; quota = quotas.pop()) {
+    if (seen.size >= maxStates) return result('states');
     const group = new ExploredGroup(scope);
-    const way = [...branch.way];
+    const way = [...quota.way];
     try {
       await group.begin();
       for (const action of way) await group.take(action);
-      cut = (await follow(group, way, { seen, branches, depth })) || cut;
+      cut = (await follow(group, way, { seen, quotas, depth })) || cut;
       ways += 1;
       if (ways % settleEvery === 0) {
         settled += 1;
@@ -65,12 +65,12 @@
 
 interface Course {
   readonly seen: Set<string>;
-  readonly branches: Branch[];
+  readonly quotas: Quota[];
   readonly depth: number;
 }
 
 /** Goes on by the first action that leads anywhere new; the others are kept for later. True where the depth ended it. */
-async function follow(group: ExploredGroup, way: ExploredAction[], { seen, branches, depth }: Course): Promise<boolean> {
+async function follow(group: ExploredGroup, way: ExploredAction[], { seen, quotas, depth }: Course): Promise<boolean> {
   for (;;) {
     const fresh = group.actions().filter((action) => {
       const state = group.printAfter(action);
@@ -80,7 +80,7 @@
     });
     if (way.length >= depth && fresh.length > 0) return true;
     const [first, ...others] = fresh;
-    for (const action of others) branches.push({ way: [...way, action] });
+    for (const action of others) quotas.push({ way: [...way, action] });
     if (first === undefined) return false;
     way.push(first);
     await group.take(first);
--- a/testing/simulator/src/model/exploredAction.ts
+++ b/testing/simulator/src/model/exploredAction.ts
@@ -1,12 +1,12 @@
 /** One thing that may happen next in the small group that is explored. */
 export type ExploredAction =
-  | { readonly t: 'deliver'; readonly channel: string }
-  | { readonly t: 'sync'; readonly machine: number }
+  | { readonly kind: 'deliver'; readonly channel: string }
+  | { readonly kind: 'sync'; readonly machine: number }
   /** The next of the orders goes to a member that leads. */
-  | { readonly t: 'order'; readonly machine: number }
+  | { readonly kind: 'order'; readonly machine: number }
   /** The one change of the group, at a member that leads. */
-  | { readonly t: 'change'; readonly machine: number }
+  | { readonly kind: 'change'; readonly machine: number }
   /** A member is asked to take over, as by a leader that hands over. */
-  | { readonly t: 'stand'; readonly machine: number }
+  | { readonly kind: 'stand'; readonly machine: number }
   /** The one loss: the process ends and a new one begins, on the same disk or on an empty one. */
-  | { readonly t: 'lose'; readonly machine: number };
+  | { readonly kind: 'lose'; readonly machine: number };
--- a/testing/simulator/src/model/exploredGroup.ts
+++ b/testing/simulator/src/model/exploredGroup.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import * as v from 'valibot';
 import type { GroupMember } from '@pewterlanding/consensus';
-import type { SetupChange } from '@pewterlanding/controller';
-import { Address, NodeName } from '@pewterlanding/runtime';
+import type { ConfigurationChange } from '@pewterlanding/controller';
+import { Address, NodeName } from '@pewterlanding/model';
 import { SimDisk } from '../sim/simDisk.js';
 import { SimTime } from '../sim/simTime.js';
 import { changeOf } from './changeOf.js';
@@ -27,7 +27,7 @@
 const numbers = [1, 2, 3];
 const { failureTimeoutMs, recoveryTimeouts } = modelBounds;
 /** Far more than any election and repair of three members takes; a group that is still busy after it goes round in circles. */
-const mostSettlingSteps = 20_000;
+const maxSettlingSteps = 20_000;
 
 /** Three members whose every delivery and sync is chosen from outside. The same choices bring the same states. */
 export class ExploredGroup {
@@ -37,7 +37,7 @@
   readonly #net = new HeldNet();
   readonly #machines: readonly Machine[];
   /** Changes whose operator was told that they were taken. */
-  readonly #confirmed: SetupChange[] = [];
+  readonly #confirmed: ConfigurationChange[] = [];
   #ordered = 0;
   #stood = 0;
   #changed = false;
@@ -74,12 +74,12 @@
     const serving = numbers.filter((machine) => this.#at(machine).process.member?.isLeader === true);
     const standing = mayStand.filter((machine) => !serving.includes(machine) && this.#at(machine).process.member !== undefined);
     return [
-      ...this.#net.channels().map((channel) => ({ t: 'deliver' as const, channel })),
-      ...numbers.filter((machine) => this.#at(machine).syncs.waiting > 0).map((machine) => ({ t: 'sync' as const, machine })),
-      ...(this.#ordered < orders ? serving : []).map((machine) => ({ t: 'order' as const, machine })),
-      ...(this.#changed || demoted === undefined ? [] : serving).map((machine) => ({ t: 'change' as const, machine })),
-      ...(this.#stood < stands ? standing : []).map((machine) => ({ t: 'stand' as const, machine })),
-      ...(this.#lost || loss === 'none' ? [] : mayLose).map((machine) => ({ t: 'lose' as const, machine })),
+      ...this.#net.channels().map((channel) => ({ kind: 'deliver' as const, channel })),
+      ...numbers.filter((machine) => this.#at(machine).syncs.waiting > 0).map((machine) => ({ kind: 'sync' as const, machine })),
+      ...(this.#ordered < orders ? serving : []).map((machine) => ({ kind: 'order' as const, machine })),
+      ...(this.#changed || demoted === undefined ? [] : serving).map((machine) => ({ kind: 'change' as const, machine })),
+      ...(this.#stood < stands ? standing : []).map((machine) => ({ kind: 'stand' as const, machine })),
+      ...(this.#lost || loss === 'none' ? [] : mayLose).map((machine) => ({ kind: 'lose' as const, machine })),
     ];
   }
 
@@ -110,7 +110,7 @@
       if (process.member?.isLeader === true)
         for (const change of this.#confirmed)
           if (process.machine.judge(change).outcome.outcome !== 'taken' || process.machine.judge(change).next !== undefined)
-            this.invariants.complain(`${process.member.self.name} leads without change ${change.mark}, which was confirmed`);
+            this.invariants.complain(`${process.member.self.name} leads without change ${change.revision}, which was confirmed`);
   }
 
   close(): void {
@@ -123,7 +123,7 @@
       address,
       time: this.#time,
       net: this.#net,
-      openDisk: (life) => disk.open(life),
+      openDisk: (instance) => disk.open(instance),
       mintMemberId: () => this.#mint(),
       led: (term, memberId) => this.invariants.led(term, memberId),
       wanted: () => (this.#scope.loss === 'disk' || this.#settling ? this.#machines : undefined),
@@ -142,7 +142,7 @@
   }
 
   #input(action: ExploredAction): { readonly at: Machine; readonly what: string } {
-    if (action.t !== 'deliver') return { at: this.#at(action.machine), what: action.t };
+    if (action.kind !== 'deliver') return { at: this.#at(action.machine), what: action.kind };
     const next = this.#net.next(action.channel);
     const at = this.#machines.find(({ address }) => address === next?.at);
     if (next === undefined || at === undefined) throw new Error(`nothing to deliver on ${action.channel}`);
@@ -150,7 +150,7 @@
   }
 
   #act(action: ExploredAction, at: Machine): void {
-    switch (action.t) {
+    switch (action.kind) {
       case 'deliver':
         this.#net.deliver(action.channel);
         return;
@@ -174,12 +174,12 @@
 
   #order({ process }: Machine): void {
     this.#ordered += 1;
-    const mark = this.#ordered;
-    const change = changeOf({ t: 'replace', basedOn: mark - 1, mark, token: `t${mark}`, valid: true });
+    const revision = this.#ordered;
+    const change = changeOf({ kind: 'replace', basedOn: revision - 1, revision, token: `t${revision}`, valid: true });
     process.member
-      ?.propose(`set/${mark}`, { t: 'set', change, atMs: 0 })
-      .then((back) => {
-        if (back.change?.outcome === 'taken') this.#confirmed.push(change);
+      ?.propose(`set/${revision}`, { kind: 'set', change, atMs: 0 })
+      .then((response) => {
+        if (response.change?.outcome === 'taken') this.#confirmed.push(change);
       })
       .catch(() => undefined);
   }
@@ -212,7 +212,7 @@
   /** Everything that is under way happens, in its order, until nothing is. */
   async #rest(): Promise<void> {
     await this.#drained();
-    for (let step = 0; step < mostSettlingSteps; step += 1) {
+    for (let step = 0; step < maxSettlingSteps; step += 1) {
       const channel = this.#net.channels()[0];
       const syncing = this.#machines.find(({ syncs }) => syncs.waiting > 0);
       if (channel === undefined && syncing === undefined) return;
@@ -227,7 +227,7 @@
   async #drained(): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
     for (const { process } of this.#machines) this.invariants.look(process);
-    if (this.invariants.complaints.length > 0) throw new Error(this.invariants.complaints.join('\n'));
+    if (this.invariants.violations.length > 0) throw new Error(this.invariants.violations.join('\n'));
   }
 
   #serves(): boolean {
--- a/testing/simulator/src/model/faultCommands.ts
+++ b/testing/simulator/src/model/faultCommands.ts
@@ -11,7 +11,7 @@
 );
 const offMs = fc.oneof(fc.nat({ max: 200 }), fc.nat({ max: 4000 }));
 /** More machines than these show nothing new, and cost time. */
-const mostMachines = 10;
+const maxMachines = 10;
 
 function fault(
   says: string,
@@ -63,7 +63,7 @@
       can: () => true,
       act: (cluster) => {
         for (const machine of cluster.machines) cluster.kill(machine);
-        cluster.machines.forEach((machine, place) => restart(cluster, machine, off + place * apart));
+        cluster.machines.forEach((machine, position) => restart(cluster, machine, off + position * apart));
       },
     }),
 );
@@ -128,7 +128,7 @@
       machine.retired = true;
       cluster.replace(machine);
     },
-    (cluster, machine) => cluster.wanted.includes(machine.name) && cluster.machines.length < mostMachines && cluster.maySpare(machine),
+    (cluster, machine) => cluster.wanted.includes(machine.name) && cluster.machines.length < maxMachines && cluster.maySpare(machine),
   ),
 );
 
@@ -138,7 +138,7 @@
     drawn,
     gap,
     (cluster, machine) => cluster.replace(machine),
-    (cluster, machine) => cluster.wanted.includes(machine.name) && cluster.machines.length < mostMachines,
+    (cluster, machine) => cluster.wanted.includes(machine.name) && cluster.machines.length < maxMachines,
   ),
 );
 
--- a/testing/simulator/src/model/heldNet.ts
+++ b/testing/simulator/src/model/heldNet.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
-import type { Address } from '@pewterlanding/runtime';
-import type { Life } from '../sim/life.js';
+import type { Address } from '@pewterlanding/model';
+import type { Instance } from '../sim/instance.js';
 import { SimNet } from '../sim/simNet.js';
 import { SimTime } from '../sim/simTime.js';
 import { ReplyAddresses } from './replyAddresses.js';
@@ -15,7 +15,7 @@
   readonly bytes: Uint8Array;
   readonly undelivered: Sent[3];
   /** The process it was sent to: a later one at the same address is another end of another connection. */
-  readonly life: Life | undefined;
+  readonly instance: Instance | undefined;
   readonly to: Address;
 }
 
@@ -30,7 +30,7 @@
   }
 
   override listen(...[address, listener]: Parameters<SimNet['listen']>): void {
-    this.#replies.listen(address, listener.life);
+    this.#replies.listen(address, listener.instance);
     this.#listeners.set(address, listener);
   }
 
@@ -39,7 +39,7 @@
     const address = end?.address ?? to;
     const name = `${from.address}>${address}`;
     const held = this.#channels.get(name) ?? [];
-    held.push({ sender: from.address, replyTo: this.#replies.of(from.address), bytes, undelivered, life: end?.life, to: address });
+    held.push({ sender: from.address, replyTo: this.#replies.of(from.address), bytes, undelivered, instance: end?.instance, to: address });
     this.#channels.set(name, held);
   }
 
@@ -64,7 +64,7 @@
     else held.undelivered('reset');
   }
 
-  #reaches({ to, life }: Held): boolean {
-    return life !== undefined && !life.dead && this.#listeners.get(to)?.life === life;
+  #reaches({ to, instance }: Held): boolean {
+    return instance !== undefined && !instance.dead && this.#listeners.get(to)?.instance === instance;
   }
 }
--- a/testing/simulator/src/model/heldTime.ts
+++ b/testing/simulator/src/model/heldTime.ts
@@ -11,8 +11,8 @@
   override after(_waitMs: number, run: () => void): () => void {
     this.#jobs.push(run);
     return () => {
-      const place = this.#jobs.indexOf(run);
-      if (place >= 0) this.#jobs.splice(place, 1);
+      const position = this.#jobs.indexOf(run);
+      if (position >= 0) this.#jobs.splice(position, 1);
     };
   }
 
--- a/testing/simulator/src/model/invariants.ts
+++ b/testing/simulator/src/model/invariants.ts
@@ -1,14 +1,14 @@
 import { createHash } from 'node:crypto';
 import type { Entry, GroupMember, Member } from '@pewterlanding/consensus';
-import type { SetupCommand, SetupReturn, SetupShard } from '@pewterlanding/controller';
-import { isFields } from '@pewterlanding/runtime';
+import type { ConfigurationCommand, ConfigurationReturn, ConfigurationShard } from '@pewterlanding/controller';
+import { isFields } from '@pewterlanding/model';
 
-type ModelMember = Member<SetupCommand, SetupReturn>;
+type ModelMember = Member<ConfigurationCommand, ConfigurationReturn>;
 
 /** A process that may be a member, and what it holds. */
 interface Process {
   readonly member: ModelMember | undefined;
-  readonly machine: SetupShard;
+  readonly machine: ConfigurationShard;
 }
 
 interface Committed {
@@ -29,7 +29,7 @@
  * what was committed, which every later leader holds. Complaints are kept; none may ever be there.
  */
 export class Invariants {
-  readonly complaints: string[] = [];
+  readonly violations: string[] = [];
   readonly #leaders = new Map<number, string>();
   readonly #placed = new Map<string, Placed>();
   readonly #committed = new Map<number, Committed>();
@@ -51,7 +51,7 @@
   }
 
   complain(what: string): void {
-    if (!this.complaints.includes(what)) this.complaints.push(what);
+    if (!this.violations.includes(what)) this.violations.push(what);
   }
 
   /** Looks at one member; it may have been looked at before. */
@@ -105,7 +105,7 @@
     if (known !== undefined && known.print !== print) this.complain(`${member.self.name} has committed another entry ${index}`);
     if (known === undefined) this.#committed.set(index, { print, term: member.term });
     this.#highest = Math.max(this.#highest, index);
-    if (entry.what.t === 'group') this.#groups.set(index, entry.what.group);
+    if (entry.payload.kind === 'group') this.#groups.set(index, entry.payload.group);
   }
 
   #lookAtState(node: Process, member: ModelMember): void {
@@ -113,8 +113,8 @@
     const known = this.#states.get(member.committed);
     if (known !== undefined && this.#seenState.get(member) === member.committed) return;
     this.#seenState.set(member, member.committed);
-    const { version, setup, history, duties, founded, seating } = node.machine;
-    const print = sha(canonical({ version, setup, history, duties, founded, seating }));
+    const { version, configuration, history, singletonRoles, bootstrapped, placement } = node.machine;
+    const print = sha(canonical({ version, configuration, history, singletonRoles, bootstrapped, placement }));
     if (known !== undefined && known !== print) this.complain(`${member.self.name} holds another state at ${member.committed}`);
     this.#states.set(member.committed, print);
   }
@@ -126,8 +126,8 @@
 function entriesAfter(member: ModelMember, after: number): readonly Entry[] | undefined {
   const { term } = member;
   const { memberId, name } = member.self;
-  const back = member.fetch({ shard: member.shard, memberId, from: name, term, after, most: everything });
-  return back.ok ? back.entries : undefined;
+  const response = member.fetch({ shard: member.shard, memberId, from: name, term, after, limit: everything });
+  return response.ok ? response.entries : undefined;
 }
 
 function printOf(entry: Entry): string {
--- a/testing/simulator/src/model/linearize.ts
+++ b/testing/simulator/src/model/linearize.ts
@@ -17,7 +17,7 @@
   readonly answered: ReadonlySet<number>;
 }
 
-const empty: RegisterState = { version: 0, content: { mark: 0, token: '', services: [] }, taken: [] };
+const empty: RegisterState = { version: 0, content: { revision: 0, token: '', services: [] }, taken: [] };
 
 /**
  * Whether the operations can be put in one order that a register without faults would answer alike, each between its beginning
--- a/testing/simulator/src/model/modelCluster.ts
+++ b/testing/simulator/src/model/modelCluster.ts
@@ -1,7 +1,8 @@
 import * as v from 'valibot';
-import { Address, NodeName, quietLog, seededRandom, ZoneName } from '@pewterlanding/runtime';
+import { Address, NodeName, ZoneName } from '@pewterlanding/model';
+import { quietLog, seededRandom } from '@pewterlanding/runtime';
 import type { Log } from '@pewterlanding/runtime';
-import type { Seating } from '@pewterlanding/controller';
+import type { Placement } from '@pewterlanding/controller';
 import { SimDisk } from '../sim/simDisk.js';
 import { SimMachine } from '../sim/simMachine.js';
 import { SimTime } from '../sim/simTime.js';
@@ -110,7 +111,7 @@
       everywhere: () => this.machines.map(({ address }) => address),
       bootstrap: this.#bootstrap,
       mintMemberId: () => this.#mint(),
-      nextSeating: (now) => this.#nextSeating(now),
+      nextPlacement: (now) => this.#nextPlacement(now),
       fatal: () => this.kill(machine),
       led: (term, memberId) => this.invariants.led(term, memberId),
     });
@@ -199,7 +200,7 @@
       machine.memberId = node.member.self.memberId;
       machine.group = node.member.group();
     }
-    if (this.invariants.complaints.length > 0) throw new Error(this.invariants.complaints.join('\n'));
+    if (this.invariants.violations.length > 0) throw new Error(this.invariants.violations.join('\n'));
   }
 
   /** A replaced machine is switched off a while after it left the group. */
@@ -248,7 +249,7 @@
   async #readAll(): Promise<void> {
     for (const { node } of this.machines) {
       if (node === undefined) continue;
-      const answering = this.operators.ask(node, { t: 'read' });
+      const answering = this.operators.ask(node, { kind: 'read' });
       let answered = false;
       void answering.then((answer) => (answered = answer !== undefined));
       await this.#until(() => answered);
@@ -294,7 +295,7 @@
     return this.#machines.some((machine) => machine.name === name && machine.memberId === memberId);
   }
 
-  #nextSeating(now: Seating): Seating | undefined {
+  #nextPlacement(now: Placement): Placement | undefined {
     const same = JSON.stringify(now.shards['setup']) === JSON.stringify(this.#wanted);
     if (same) return undefined;
     const named = this.#machines.map(({ name, address, machine }) => [
--- a/testing/simulator/src/model/modelCommand.ts
+++ b/testing/simulator/src/model/modelCommand.ts
@@ -13,13 +13,13 @@
   readonly gapMs: number;
 }
 
-const mostDrawn = 14;
+const maxDrawn = 14;
 const leadersDrawn = 4;
 
 /** One step of a case: something an operator asks, a fault, or its end. */
 export class ModelCommand implements AsyncCommand<ModelCluster, ModelCluster> {
   /** What machines are drawn from. */
-  static readonly drawn: Arbitrary<number> = nat({ max: mostDrawn });
+  static readonly drawn: Arbitrary<number> = nat({ max: maxDrawn });
   readonly #deed: Deed;
 
   constructor(deed: Deed) {
@@ -32,7 +32,7 @@
     const leading = machines
       .filter(({ node }) => node?.member?.isLeader === true)
       .sort((a, b) => (a.node?.member?.term ?? 0) - (b.node?.member?.term ?? 0));
-    if (drawn > mostDrawn - leadersDrawn && leading.length > 0) return leading.at(drawn === mostDrawn ? -1 : 0);
+    if (drawn > maxDrawn - leadersDrawn && leading.length > 0) return leading.at(drawn === maxDrawn ? -1 : 0);
     return machines[drawn % Math.max(1, machines.length)];
   }
 
--- a/testing/simulator/src/model/modelMachine.ts
+++ b/testing/simulator/src/model/modelMachine.ts
@@ -1,5 +1,5 @@
 import type { GroupMember } from '@pewterlanding/consensus';
-import type { Address, NodeName } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
 import type { SimDisk } from '../sim/simDisk.js';
 import type { SimMachine } from '../sim/simMachine.js';
 import type { ModelNode } from './modelNode.js';
--- a/testing/simulator/src/model/modelGuards.ts
+++ b/testing/simulator/src/model/modelMutations.ts
@@ -1,7 +1,7 @@
-import type { Guard } from '../guards/guard.js';
+import type { Mutation } from '../mutation/mutation.js';
 
 /** A guard of the consensus or of the register, and a run of the model that fails without it within so many cases. */
-interface ModelGuard extends Pick<Guard, 'name' | 'edits'> {
+interface ModelMutation extends Pick<Mutation, 'name' | 'edits'> {
   readonly tolerance: 1 | 2;
   readonly seed: number;
   readonly cases: number;
@@ -11,13 +11,13 @@
 const at = { tolerance: 1, seed: 101, cases: 60 } as const;
 
 /** Lines of shipped code without which the model finds a broken invariant. */
-export const modelGuards: readonly ModelGuard[] = [
+export const modelMutations: readonly ModelMutation[] = [
   {
     ...at,
     name: 'openingRecordFirst',
     edits: [
       {
-        file: `${consensus}/leadership.js`,
+        file: `${consensus}/election/leadership.js`,
         text: 'return !this.#over && this.#state.committed >= this.#openIndex;',
         instead: 'return !this.#over;',
       },
@@ -26,14 +26,14 @@
   {
     ...at,
     name: 'bestLogIsAdopted',
-    edits: [{ file: `${consensus}/election.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
+    edits: [{ file: `${consensus}/election/election.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
   },
   {
     ...at,
     name: 'oneVoteATerm',
     edits: [
       {
-        file: `${consensus}/member.js`,
+        file: `${consensus}/shard/member.js`,
         text: 'const granted = body.term > this.#state.currentTerm;',
         instead: 'const granted = body.term >= this.#state.currentTerm;',
       },
@@ -42,6 +42,8 @@
   {
     ...at,
     name: 'repeatIsKnown',
-    edits: [{ file: 'programs/controller/dist/src/setupShard.js', text: "if (known === 'same')", instead: 'if (false)' }],
+    edits: [
+      { file: 'programs/controller/dist/src/configuration/configurationShard.js', text: "if (known === 'same')", instead: 'if (false)' },
+    ],
   },
 ];
--- a/testing/simulator/src/model/modelNet.ts
+++ b/testing/simulator/src/model/modelNet.ts
@@ -24,7 +24,7 @@
   }
 
   override listen(...[address, listener]: Parameters<SimNet['listen']>): void {
-    this.#replies.listen(address, listener.life);
+    this.#replies.listen(address, listener.instance);
     super.listen(address, listener);
   }
 
@@ -33,7 +33,7 @@
     const sender = { machine: from.machine, address: this.#replies.of(from.address) };
     const deliver = (): void => {
       // Where nobody is left at an answered process's end there is no connection to send on.
-      if (end === undefined || this.#replies.end(end.address)?.life === end.life)
+      if (end === undefined || this.#replies.end(end.address)?.instance === end.instance)
         super.send(sender, end?.address ?? to, bytes, undelivered);
     };
     if (this.#random() < this.lateRatio) this.#time.after(this.#random() * this.lateMs, deliver);
--- a/testing/simulator/src/model/modelNode.ts
+++ b/testing/simulator/src/model/modelNode.ts
@@ -1,19 +1,20 @@
 import { bootstrapGroup, GroupReconciler, LeaderFinder, replyAsLeader, ShardHost } from '@pewterlanding/consensus';
 import type { Member } from '@pewterlanding/consensus';
-import { controllerCalls, firstStart, OperatorDesk, serveSetupChanges, SetupShard } from '@pewterlanding/controller';
-import type { Seating, SetupCommand, SetupReturn } from '@pewterlanding/controller';
-import { Counters, every, WireError } from '@pewterlanding/runtime';
-import type { Address, Log, NodeName, Wire } from '@pewterlanding/runtime';
-import { Life } from '../sim/life.js';
+import { controllerCalls, firstStart, OperatorApi, serveConfigurationChanges, ConfigurationShard } from '@pewterlanding/controller';
+import type { Placement, ConfigurationCommand, ConfigurationReturn } from '@pewterlanding/controller';
+import { Counters, every, TransportError } from '@pewterlanding/runtime';
+import type { Address, NodeName } from '@pewterlanding/model';
+import type { Log, Transport } from '@pewterlanding/runtime';
+import { Instance } from '../sim/instance.js';
 import { SimClock } from '../sim/simClock.js';
 import type { SimDisk } from '../sim/simDisk.js';
 import type { SimMachine } from '../sim/simMachine.js';
 import type { SimTime } from '../sim/simTime.js';
-import { SimWire } from '../sim/simWire.js';
+import { SimTransport } from '../sim/simTransport.js';
 import { modelBounds } from './modelBounds.js';
 import type { ModelNet } from './modelNet.js';
 import { PackedShard } from './packedShard.js';
-import { tapWire } from './tapWire.js';
+import { tapTransport } from './tapTransport.js';
 import type { WriteTrap } from './writeTrap.js';
 
 interface ModelNodeOptions {
@@ -33,7 +34,7 @@
   readonly bootstrap: boolean;
   readonly mintMemberId: () => string;
   /** The seating that shall follow on the one in force, if another is wanted. */
-  readonly nextSeating: (now: Seating) => Seating | undefined;
+  readonly nextPlacement: (now: Placement) => Placement | undefined;
   readonly fatal: () => void;
   /** Told who sends as a leader under which term. */
   readonly led: (term: number, memberId: string) => void;
@@ -44,34 +45,39 @@
 
 /** One life of a process that is a member of the group: the shipped classes, put together as the controller does it. */
 export class ModelNode {
-  readonly life = new Life();
-  readonly machine = new SetupShard();
-  readonly desk: OperatorDesk;
+  readonly instance = new Instance();
+  readonly machine = new ConfigurationShard();
+  readonly operatorApi: OperatorApi;
   readonly #options: ModelNodeOptions;
   readonly #clock: SimClock;
-  readonly #wire: Wire;
+  readonly #transport: Transport;
   readonly #host: ShardHost;
   readonly #counters = new Counters();
-  #member: Member<SetupCommand, SetupReturn> | undefined;
-  #reconciler: GroupReconciler<SetupCommand, SetupReturn> | undefined;
+  #member: Member<ConfigurationCommand, ConfigurationReturn> | undefined;
+  #reconciler: GroupReconciler<ConfigurationCommand, ConfigurationReturn> | undefined;
   #stop = (): void => undefined;
 
   constructor(options: ModelNodeOptions) {
     this.#options = options;
     const { address, machine, time, net, log, fatal, name, mintMemberId } = options;
-    this.#clock = new SimClock(time, machine, this.life);
+    this.#clock = new SimClock(time, machine, this.instance);
     const ground = { clock: this.#clock, counters: this.#counters };
-    this.#wire = tapWire(new SimWire({ ...ground, here: address, machine, life: this.life, net }), options.led);
-    const disk = options.trap.wrap(options.disk.open(this.life));
+    this.#transport = tapTransport(new SimTransport({ ...ground, here: address, machine, instance: this.instance, net }), options.led);
+    const disk = options.trap.wrap(options.disk.open(this.instance));
     const bounds = { failureTimeoutMs, compactBytes };
-    this.#host = new ShardHost({ ...ground, wire: this.#wire, disk, bounds, log, fatal, name, address, mintMemberId });
-    const finder = new LeaderFinder({ wire: this.#wire, clock: this.#clock, tryMs: failureTimeoutMs, members: options.everywhere });
-    this.desk = new OperatorDesk({ finder, clock: this.#clock, waitMs: orderWaitMs });
+    this.#host = new ShardHost({ ...ground, transport: this.#transport, disk, bounds, log, fatal, name, address, mintMemberId });
+    const finder = new LeaderFinder({
+      transport: this.#transport,
+      clock: this.#clock,
+      tryMs: failureTimeoutMs,
+      members: options.everywhere,
+    });
+    this.operatorApi = new OperatorApi({ finder, clock: this.#clock, waitMs: orderWaitMs });
     this.#serve();
     this.#open(disk).catch((error: unknown) => log.error(String(error)));
   }
 
-  get member(): Member<SetupCommand, SetupReturn> | undefined {
+  get member(): Member<ConfigurationCommand, ConfigurationReturn> | undefined {
     return this.#member;
   }
 
@@ -93,7 +99,7 @@
   }
 
   end(): void {
-    this.life.end();
+    this.instance.end();
     this.#stop();
     this.#reconciler?.close();
     this.#host.close();
@@ -101,32 +107,41 @@
 
   async #open(disk: Parameters<typeof firstStart>[0]): Promise<void> {
     const { seeds, log } = this.#options;
-    const wire = this.#wire;
+    const transport = this.#transport;
     const ground = { clock: this.#clock, counters: this.#counters };
     const known = await this.#host.known(shard);
     const { bootstrap, over } = await firstStart(disk, this.#options.bootstrap);
-    const group = await bootstrapGroup({ ...ground, wire, shard, host: this.#host, seeds, waitMs: failureTimeoutMs, known, bootstrap });
+    const group = await bootstrapGroup({
+      ...ground,
+      transport,
+      shard,
+      host: this.#host,
+      seeds,
+      waitMs: failureTimeoutMs,
+      known,
+      bootstrap,
+    });
     const soon = (): void => this.#reconciler?.stepSoon();
     const hooks = { leadershipChanged: soon, applied: soon, noticed: soon };
-    const member = await this.#host.host<SetupCommand, SetupReturn>(shard, group, new PackedShard(this.machine), hooks);
+    const member = await this.#host.host<ConfigurationCommand, ConfigurationReturn>(shard, group, new PackedShard(this.machine), hooks);
     this.#member = member;
     await over();
-    const wanted = (): ReturnType<ReturnType<SetupShard['wanted']>['get']> => this.machine.wanted().get(shard);
-    this.#reconciler = new GroupReconciler({ ...ground, member, wire, log, failureTimeoutMs, wanted });
+    const wanted = (): ReturnType<ReturnType<ConfigurationShard['wanted']>['get']> => this.machine.wanted().get(shard);
+    this.#reconciler = new GroupReconciler({ ...ground, member, transport, log, failureTimeoutMs, wanted });
     this.#stop = every(this.#clock, failureTimeoutMs / 4, () => this.#seat(member));
   }
 
   /** Has the wanted seating written, as the controller does for the machines that announce themselves. */
-  async #seat(member: Member<SetupCommand, SetupReturn>): Promise<void> {
+  async #seat(member: Member<ConfigurationCommand, ConfigurationReturn>): Promise<void> {
     if (!member.isLeader) return;
-    const seating = this.#options.nextSeating(this.machine.seating);
-    if (seating !== undefined) await member.propose(`sit/${seating.version}`, { t: 'sit', seating });
+    const placement = this.#options.nextPlacement(this.machine.placement);
+    if (placement !== undefined) await member.propose(`sit/${placement.version}`, { kind: 'place', placement });
   }
 
   #serve(): void {
     const confirmed = (): Promise<void> => this.#serving().confirmLeadership();
-    serveSetupChanges({
-      wire: this.#wire,
+    serveConfigurationChanges({
+      transport: this.#transport,
       counters: this.#counters,
       machine: this.machine,
       wallMs: () => this.#clock.wallMs(),
@@ -134,17 +149,17 @@
       propose: (id, command) => this.#serving().propose(id, command),
       publish: () => undefined,
     });
-    this.#wire.serve(controllerCalls.setup, () =>
+    this.#transport.serve(controllerCalls.configuration, () =>
       replyAsLeader(async () => {
         await confirmed();
-        const { version, setup, history, duties } = this.machine;
-        return { version, setup, history: [...history], duties: { ...duties } };
+        const { version, configuration, history, singletonRoles } = this.machine;
+        return { version, configuration, history: [...history], singletonRoles: { ...singletonRoles } };
       }),
     );
   }
 
-  #serving(): Member<SetupCommand, SetupReturn> {
-    if (this.#member === undefined) throw new WireError('refused', 'not yet a member');
+  #serving(): Member<ConfigurationCommand, ConfigurationReturn> {
+    if (this.#member === undefined) throw new TransportError('refused', 'not yet a member');
     return this.#member;
   }
 }
--- a/testing/simulator/src/model/operators.ts
+++ b/testing/simulator/src/model/operators.ts
@@ -15,7 +15,7 @@
 /** The operators: what they asked of which member, and what they were told. */
 export class Operators {
   readonly #operations: Operation[] = [];
-  #happenings = 0;
+  #historyEvents = 0;
   /** The highest number that an operator was told of. */
   #known = 0;
 
@@ -29,7 +29,7 @@
 
   /** What was ordered so far and may be ordered again. */
   get orders(): readonly RegisterOrder[] {
-    return this.#operations.map(({ order }) => order).filter(({ t }) => t !== 'read');
+    return this.#operations.map(({ order }) => order).filter(({ kind: t }) => t !== 'read');
   }
 
   /** Asks through one member, wherever the leader is. Resolves to the answer, or undefined where none came. */
@@ -40,21 +40,21 @@
     if (answer === undefined) return undefined;
     operation.ended = this.#happened();
     operation.answer = answer;
-    this.#known = Math.max(this.#known, answer.t === 'content' ? answer.content.mark : answer.mark);
+    this.#known = Math.max(this.#known, answer.kind === 'content' ? answer.content.revision : answer.revision);
     return answer;
   }
 
   #happened(): number {
-    this.#happenings += 1;
-    return this.#happenings;
+    this.#historyEvents += 1;
+    return this.#historyEvents;
   }
 }
 
 async function send(node: ModelNode, order: RegisterOrder): Promise<RegisterAnswer> {
-  if (order.t === 'read') {
-    const { version, setup } = await node.desk.setup();
-    return { t: 'content', version, content: contentOf(setup) };
+  if (order.kind === 'read') {
+    const { version, configuration } = await node.operatorApi.configuration();
+    return { kind: 'content', version, content: contentOf(configuration) };
   }
-  const { outcome, mark } = await node.desk.set(changeOf(order));
-  return { t: 'outcome', outcome, mark };
+  const { outcome, revision } = await node.operatorApi.set(changeOf(order));
+  return { kind: 'outcome', outcome, revision };
 }
--- a/testing/simulator/src/model/orderCommands.ts
+++ b/testing/simulator/src/model/orderCommands.ts
@@ -16,7 +16,7 @@
   return new ModelCommand({
     says: `${says} at ${machine}`,
     gapMs: gap,
-    can: (cluster) => at(cluster) !== undefined && cluster.operators.history.length < mostOrders,
+    can: (cluster) => at(cluster) !== undefined && cluster.operators.history.length < maxOrders,
     act: (cluster) => {
       const node = at(cluster);
       if (node !== undefined) void cluster.operators.ask(node, make(cluster, `t${cluster.operators.history.length}`));
@@ -25,20 +25,20 @@
 }
 
 /** The search for an order that fits grows with their number. */
-const mostOrders = 60;
+const maxOrders = 60;
 
-const numbers = (cluster: ModelCluster, less: number, more: number): { readonly basedOn: number; readonly mark: number } => {
+const numbers = (cluster: ModelCluster, less: number, more: number): { readonly basedOn: number; readonly revision: number } => {
   const basedOn = Math.max(0, cluster.operators.known - less);
-  return { basedOn, mark: basedOn + more };
+  return { basedOn, revision: basedOn + more };
 };
 
-const read = fc.tuple(machineDrawn, gapMs).map(([machine, gap]) => order('read', machine, gap, () => ({ t: 'read' })));
+const read = fc.tuple(machineDrawn, gapMs).map(([machine, gap]) => order('read', machine, gap, () => ({ kind: 'read' })));
 
 const replace = fc
   .tuple(machineDrawn, gapMs, behind, above, fc.constantFrom(true, true, true, true, false))
   .map(([machine, gap, less, more, valid]) =>
     order(`${valid ? 'replace' : 'replace by nonsense'} -${less} +${more}`, machine, gap, (cluster, token) => ({
-      t: 'replace',
+      kind: 'replace',
       ...numbers(cluster, less, more),
       token,
       valid,
@@ -47,7 +47,7 @@
 
 const amend = fc.tuple(machineDrawn, gapMs, behind, above, serviceNames, serviceNames).map(([machine, gap, less, more, put, drop]) =>
   order(`amend -${less} +${more} put ${put.join('+')} drop ${drop.join('+')}`, machine, gap, (cluster, token) => ({
-    t: 'amend',
+    kind: 'amend',
     ...numbers(cluster, less, more),
     token,
     put,
@@ -56,10 +56,10 @@
 );
 
 /** The same order again, at whichever member. */
-const repeat = fc.tuple(machineDrawn, gapMs, fc.nat({ max: 5 })).map(([machine, gap, back]) =>
-  order(`repeat the last but ${back}`, machine, gap, (cluster) => {
+const repeat = fc.tuple(machineDrawn, gapMs, fc.nat({ max: 5 })).map(([machine, gap, response]) =>
+  order(`repeat the last but ${response}`, machine, gap, (cluster) => {
     const { orders } = cluster.operators;
-    return orders[Math.max(0, orders.length - 1 - back)] ?? { t: 'read' };
+    return orders[Math.max(0, orders.length - 1 - response)] ?? { kind: 'read' };
   }),
 );
 
--- a/testing/simulator/src/model/packedShard.ts
+++ b/testing/simulator/src/model/packedShard.ts
@@ -2,7 +2,7 @@
 import { Decoder, Encoder } from 'cbor-x';
 import * as v from 'valibot';
 import type { StateMachine } from '@pewterlanding/consensus';
-import type { SetupCommand, SetupReturn, SetupShard } from '@pewterlanding/controller';
+import type { ConfigurationCommand, ConfigurationReturn, ConfigurationShard } from '@pewterlanding/controller';
 
 const Packed = v.instance(Uint8Array);
 /** The fastest: what is packed is nearly all zeros. */
@@ -12,24 +12,24 @@
  * The shipped register with its snapshots packed. As they come they take 200 kB from the beginning on, which no case of a few dozen
  * orders outgrows: packed, members compact their logs and send snapshots within a case.
  */
-export class PackedShard implements StateMachine<SetupCommand, SetupReturn> {
+export class PackedShard implements StateMachine<ConfigurationCommand, ConfigurationReturn> {
   readonly rememberedCommands: number | undefined;
-  readonly #shard: SetupShard;
+  readonly #shard: ConfigurationShard;
 
-  constructor(shard: SetupShard) {
+  constructor(shard: ConfigurationShard) {
     this.#shard = shard;
     this.rememberedCommands = shard.rememberedCommands;
   }
 
-  read(raw: unknown): SetupCommand {
+  read(raw: unknown): ConfigurationCommand {
     return this.#shard.read(raw);
   }
 
-  apply(command: SetupCommand): SetupReturn {
+  apply(command: ConfigurationCommand): ConfigurationReturn {
     return this.#shard.apply(command);
   }
 
-  readReturn(raw: unknown): SetupReturn {
+  readReturn(raw: unknown): ConfigurationReturn {
     return this.#shard.readReturn(raw);
   }
 
--- a/testing/simulator/src/model/registerContent.ts
+++ b/testing/simulator/src/model/registerContent.ts
@@ -1,7 +1,7 @@
 /** What of the configuration in force the model writes and reads back. */
 export interface RegisterContent {
   /** The operator's number; 0 before the first configuration. */
-  readonly mark: number;
+  readonly revision: number;
   /** The token that the last replacement wrote. */
   readonly token: string;
   /** The names of the services, sorted. */
--- a/testing/simulator/src/model/replyAddresses.ts
+++ b/testing/simulator/src/model/replyAddresses.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
-import { Address } from '@pewterlanding/runtime';
-import type { Life } from '../sim/life.js';
+import { Address } from '@pewterlanding/model';
+import type { Instance } from '../sim/instance.js';
 
 interface End {
   readonly address: Address;
-  readonly life: Life;
+  readonly instance: Instance;
 }
 
 /**
@@ -13,29 +13,29 @@
  */
 export class ReplyAddresses {
   readonly #ends = new Map<Address, End>();
-  readonly #names = new Map<Life, Address>();
-  readonly #lives = new Map<Address, Life>();
+  readonly #names = new Map<Instance, Address>();
+  readonly #instances = new Map<Address, Instance>();
 
   /** A process begins to listen. */
-  listen(address: Address, life: Life): void {
+  listen(address: Address, instance: Instance): void {
     const number = this.#names.size;
     const name = v.parse(Address, `127.200.${number >> 8}.${number & 255}:7000`);
-    this.#names.set(life, name);
-    this.#ends.set(name, { address, life });
-    this.#lives.set(address, life);
+    this.#names.set(instance, name);
+    this.#ends.set(name, { address, instance });
+    this.#instances.set(address, instance);
   }
 
   /** Where the process that listens at an address now is answered. */
   of(address: Address): Address {
-    const life = this.#lives.get(address);
-    return (life === undefined ? undefined : this.#names.get(life)) ?? address;
+    const instance = this.#instances.get(address);
+    return (instance === undefined ? undefined : this.#names.get(instance)) ?? address;
   }
 
   /** Who is meant by an address: the process that is answered there, or the one that listens there now. */
   end(to: Address): End | undefined {
     const answered = this.#ends.get(to);
     if (answered !== undefined) return answered;
-    const life = this.#lives.get(to);
-    return life === undefined ? undefined : { address: to, life };
+    const instance = this.#instances.get(to);
+    return instance === undefined ? undefined : { address: to, instance };
   }
 }
--- a/testing/simulator/src/model/runModel.ts
+++ b/testing/simulator/src/model/runModel.ts
@@ -11,7 +11,7 @@
   /** The way to one case, as a failure printed it. */
   readonly path?: string | undefined;
   readonly replayPath?: string | undefined;
-  readonly mostCommands?: number;
+  readonly maxCommands?: number;
   readonly trace?: ((line: string) => void) | undefined;
   /** Is given the operators' history of each case at its end. */
   readonly ended?: (history: readonly RegisterOperation[]) => void;
@@ -28,15 +28,15 @@
 }
 
 /** A run that takes longer than this fails as it is, so that a failing case is not made shorter for ever. */
-const leastLimitMs = 60_000;
+const minLimitMs = 60_000;
 const limitMsPerCase = 2000;
 
 /** Runs cases drawn from a seed. One that fails is made shorter, and thrown with its seed, its path and its commands. */
 export async function runModel(options: RunModelOptions): Promise<Counts> {
-  const { tolerance, seed, cases, path, replayPath, mostCommands = 40, trace, ended } = options;
+  const { tolerance, seed, cases, path, replayPath, maxCommands = 40, trace, ended } = options;
   const counts = { cases: 0, steps: 0, events: 0, orders: 0, answered: 0, worstRecoveryMs: 0 };
   const commands = fc.commands([...orderCommands, ...orderCommands, ...faultCommands], {
-    maxCommands: mostCommands,
+    maxCommands: maxCommands,
     size: 'max',
     ...(replayPath === undefined ? {} : { replayPath }),
   });
@@ -63,7 +63,7 @@
     numRuns: cases,
     ...(path === undefined ? {} : { path, endOnFailure: true }),
     includeErrorInReport: true,
-    interruptAfterTimeLimit: leastLimitMs + cases * limitMsPerCase,
+    interruptAfterTimeLimit: minLimitMs + cases * limitMsPerCase,
     markInterruptAsFailure: true,
   });
   return counts;
--- a/testing/simulator/src/model/stepRegister.ts
+++ b/testing/simulator/src/model/stepRegister.ts
@@ -9,28 +9,28 @@
 
 /** What an order does to the register, and what its operator must be told. */
 export function stepRegister(state: RegisterState, order: RegisterOrder): Step {
-  if (order.t === 'read') return { next: state, answer: { t: 'content', version: state.version, content: state.content } };
-  const { mark, services } = state.content;
-  const refused = (outcome: 'conflict' | 'invalid'): Step => ({ next: state, answer: { t: 'outcome', outcome, mark } });
-  const name = `${order.mark}/${order.token}`;
-  if (state.taken.includes(name)) return { next: state, answer: { t: 'outcome', outcome: 'taken', mark } };
-  if (order.basedOn !== mark) return refused('conflict');
-  if (order.mark <= mark || !isAcceptable(order, mark)) return refused('invalid');
+  if (order.kind === 'read') return { next: state, answer: { kind: 'content', version: state.version, content: state.content } };
+  const { revision, services } = state.content;
+  const refused = (outcome: 'conflict' | 'invalid'): Step => ({ next: state, answer: { kind: 'outcome', outcome, revision } });
+  const name = `${order.revision}/${order.token}`;
+  if (state.taken.includes(name)) return { next: state, answer: { kind: 'outcome', outcome: 'taken', revision } };
+  if (order.basedOn !== revision) return refused('conflict');
+  if (order.revision <= revision || !isAcceptable(order, revision)) return refused('invalid');
   const content =
-    order.t === 'replace'
-      ? { mark: order.mark, token: order.token, services: [] }
+    order.kind === 'replace'
+      ? { revision: order.revision, token: order.token, services: [] }
       : {
-          mark: order.mark,
+          revision: order.revision,
           token: state.content.token,
           services: [...new Set([...services.filter((one) => !order.drop.includes(one)), ...order.put])].sort(),
         };
   return {
     next: { version: state.version + 1, content, taken: [...state.taken, name] },
-    answer: { t: 'outcome', outcome: 'taken', mark: order.mark },
+    answer: { kind: 'outcome', outcome: 'taken', revision: order.revision },
   };
 }
 
 /** There is nothing to amend before the first replacement. */
-function isAcceptable(order: Exclude<RegisterOrder, { t: 'read' }>, mark: number): boolean {
-  return order.t === 'replace' ? order.valid : mark > 0;
+function isAcceptable(order: Exclude<RegisterOrder, { kind: 'read' }>, revision: number): boolean {
+  return order.kind === 'replace' ? order.valid : revision > 0;
 }
--- a/testing/simulator/src/guards/consensusGuards.ts
+++ b/testing/simulator/src/mutation/consensusMutations.ts
@@ -1,44 +1,46 @@
-import type { Guard } from './guard.js';
+import type { Mutation } from './mutation.js';
 
 const controller = 'programs/controller/dist/src';
 const consensus = 'packages/consensus/dist/src';
 
 /** The guards of replicated shards and of what the configuration shard holds, shown by the tests of these. */
-export const consensusGuards: readonly Guard[] = [
+export const consensusMutations: readonly Mutation[] = [
   {
     name: 'repeatsOfTheDay',
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
-    scenario: 'programs/controller/dist/test/setupGrowth.test.js',
+    scenario: 'programs/controller/dist/test/configurationGrowth.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/setupShard.js`, text: "if (known === 'same')", instead: 'if (false)' }],
+    edits: [{ file: `${controller}/configuration/configurationShard.js`, text: "if (known === 'same')", instead: 'if (false)' }],
   },
   {
     name: 'oneNumberOneChange',
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
-    scenario: 'programs/controller/dist/test/setupGrowth.test.js',
+    scenario: 'programs/controller/dist/test/configurationGrowth.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/setupShard.js`, text: "(known === 'other' && mark > held)", instead: 'false' }],
+    edits: [
+      { file: `${controller}/configuration/configurationShard.js`, text: "(known === 'other' && revision > held)", instead: 'false' },
+    ],
   },
   {
     name: 'historyIsBounded',
     rule: 'service stays below a quarter after repair',
-    scenario: 'programs/controller/dist/test/setupGrowth.test.js',
+    scenario: 'programs/controller/dist/test/configurationGrowth.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/setupShard.js`, text: '.slice(-keptConfirmations)', instead: '' }],
+    edits: [{ file: `${controller}/configuration/configurationShard.js`, text: '.slice(-keptConfirmations)', instead: '' }],
   },
   {
     name: 'auditFileIsFilled',
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'testing/simulator/dist/test/auditArchive.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/auditArchive.js`, text: 'while (this.#through < head().entries)', instead: 'while (false)' }],
+    edits: [{ file: `${controller}/audit/auditArchive.js`, text: 'while (this.#through < head().entries)', instead: 'while (false)' }],
   },
   {
     name: 'logTail',
     rule: 'service stays below a quarter after repair',
     scenario: 'testing/simulator/dist/test/shardSnapshots.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/tailStart.js`, text: 'if (bytes > tailBytes && !pinned)', instead: 'if (true)' }],
+    edits: [{ file: `${consensus}/log/tailStart.js`, text: 'if (bytes > tailBytes && !pinned)', instead: 'if (true)' }],
   },
   {
     name: 'snapshotIsPinned',
@@ -47,7 +49,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${consensus}/snapshotSender.js`,
+        file: `${consensus}/snapshot/snapshotSender.js`,
         text: 'this.#transfers.get(memberId) ??',
         instead: '[this.#transfers.get(memberId)].find((one) => one?.encoded.snapshot === this.#state.log.snapshot) ??',
       },
@@ -60,7 +62,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${consensus}/snapshotReceiver.js`,
+        file: `${consensus}/snapshot/snapshotReceiver.js`,
         text: '!== chunk.checksum)\n            return {',
         instead: "=== '')\n            return {",
       },
@@ -71,27 +73,29 @@
     rule: 'an accepted lot is lost, doubled or changed',
     scenario: 'testing/simulator/dist/test/shardSnapshots.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/memberState.js`, text: 'if (this.log.termAt(snapshot.index) === snapshot.term)', instead: 'if (false)' }],
+    edits: [
+      { file: `${consensus}/state/memberState.js`, text: 'if (this.log.termAt(snapshot.index) === snapshot.term)', instead: 'if (false)' },
+    ],
   },
   {
     name: 'removalIsCommitted',
     rule: 'an accepted lot is lost, doubled or changed',
     scenario: 'testing/simulator/dist/test/shardMembership.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/shardHost.js`, text: 'if (!member.groupCommitted)', instead: 'if (false)' }],
+    edits: [{ file: `${consensus}/shard/shardHost.js`, text: 'if (!member.groupCommitted)', instead: 'if (false)' }],
   },
   {
     name: 'staleTermIsRefused',
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'testing/simulator/dist/test/shardMembership.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/member.js`, text: 'if (term < this.#state.currentTerm)', instead: 'if (false)' }],
+    edits: [{ file: `${consensus}/shard/member.js`, text: 'if (term < this.#state.currentTerm)', instead: 'if (false)' }],
   },
   {
     name: 'learnerThatKeepsUp',
     rule: 'service stays below a quarter after repair',
     scenario: 'testing/simulator/dist/test/shardRepair.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/member.js`, text: '(behind <= 1 || keepsUp)', instead: 'behind <= 1' }],
+    edits: [{ file: `${consensus}/shard/member.js`, text: '(behind <= 1 || keepsUp)', instead: 'behind <= 1' }],
   },
 ];
--- a/testing/simulator/src/guards/controlGuards.ts
+++ b/testing/simulator/src/mutation/controlMutations.ts
@@ -1,10 +1,10 @@
-import type { Guard } from './guard.js';
+import type { Mutation } from './mutation.js';
 
 const controller = 'programs/controller/dist/src';
 const consensus = 'packages/consensus/dist/src';
 
 /** What keeps the control side's state through races, repeats, losses in turn, leavings and long absences. */
-export const controlGuards: readonly Guard[] = [
+export const controlMutations: readonly Mutation[] = [
   {
     name: 'orderSentAgain',
     rule: 'an order has two outcomes, or two orders one number',
@@ -13,7 +13,7 @@
     ci: true,
     edits: [
       {
-        file: `${controller}/setupShard.js`,
+        file: `${controller}/configuration/configurationShard.js`,
         text: "if (known === 'same')",
         instead: 'if (false)',
       },
@@ -26,12 +26,12 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${controller}/setupShard.js`,
-        text: "if (basedOn !== held || (known === 'other' && mark > held))",
+        file: `${controller}/configuration/configurationShard.js`,
+        text: "if (basedOn !== held || (known === 'other' && revision > held))",
         instead: 'if (false)',
       },
       // The number alone would tell most of them apart.
-      { file: `${controller}/changedSetup.js`, text: 'if (mark <= (now?.mark ?? 0))', instead: 'if (false)' },
+      { file: `${controller}/configuration/changedConfiguration.js`, text: 'if (revision <= (now?.revision ?? 0))', instead: 'if (false)' },
     ],
   },
   {
@@ -41,7 +41,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${consensus}/groupReconciler.js`,
+        file: `${consensus}/reconfiguration/groupReconciler.js`,
         text: 'if (now === undefined || now.name !== identity.name || now.memberId === identity.memberId)',
         instead: 'if (true)',
       },
@@ -54,11 +54,15 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${controller}/seatKeeper.js`,
-        text: 'if (Object.values(machine.seating.shards).some((names) => names.includes(name)))',
+        file: `${controller}/placement/placementController.js`,
+        text: 'if (Object.values(machine.placement.shards).some((names) => names.includes(name)))',
         instead: 'if (false)',
       },
-      { file: `${controller}/seatKeeper.js`, text: "return whole ? 'settled' : 'running';", instead: "return 'settled';" },
+      {
+        file: `${controller}/placement/placementController.js`,
+        text: "return whole ? 'settled' : 'running';",
+        instead: "return 'settled';",
+      },
     ],
   },
   {
@@ -66,7 +70,7 @@
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'staleMemberReturns',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/election.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
+    edits: [{ file: `${consensus}/election/election.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
   },
   {
     name: 'newIdBeforeTheDamagedFileGoes',
@@ -75,7 +79,7 @@
     seeds: [2, 3],
     edits: [
       {
-        file: `${consensus}/shardHost.js`,
+        file: `${consensus}/shard/shardHost.js`,
         text: 'await this.#mintMemberId(shard);\n            await new Journal(disk, `${shard}.shard`).rewrite([]);',
         instead: 'await new Journal(disk, `${shard}.shard`).rewrite([]);\n            await this.#mintMemberId(shard);',
       },
--- a/testing/simulator/src/guards/guard.ts
+++ b/testing/simulator/src/mutation/mutation.ts
@@ -7,7 +7,7 @@
 }
 
 /** Lines of shipped code that keep a rule, and the run that breaks the rule without them. */
-export interface Guard {
+export interface Mutation {
   readonly name: string;
   readonly rule: string;
   /** A scenario of the simulator, or a test file of the built tree that draws by the seed in `PROPERTY_SEED`. */
--- a/testing/simulator/src/guards/guards.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -1,6 +1,6 @@
-import { controlGuards } from './controlGuards.js';
-import { consensusGuards } from './consensusGuards.js';
-import type { Guard } from './guard.js';
+import { controlMutations } from './controlMutations.js';
+import { consensusMutations } from './consensusMutations.js';
+import type { Mutation } from './mutation.js';
 
 const proxy = 'programs/proxy/dist/src';
 const controller = 'programs/controller/dist/src';
@@ -9,26 +9,26 @@
 const membership = 'packages/membership/dist/src';
 const rateLimit = 'packages/rate-limit/dist/src';
 /** Drawn cases of replicas that fail in any way, over the proxy's exchanges with scripted connections. */
-const exchanges = 'programs/proxy/dist/test/exchanges.property.test.js';
+const exchanges = 'programs/proxy/dist/test/proxyHandler.property.test.js';
 /** The same of batch items, which run again under their ids. */
-const itemRuns = 'programs/proxy/dist/test/itemWire.property.test.js';
+const itemRuns = 'programs/proxy/dist/test/itemTransport.property.test.js';
 
 /** The guards of what must never happen. */
-export const guards: readonly Guard[] = [
+export const mutations: readonly Mutation[] = [
   {
     name: 'retryRule',
     rule: 'an unrepeatable task runs twice',
     scenario: 'booksBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarder.js`, text: 'if (!rule.repeatable && !notRun)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'if (!rule.idempotent && !notRun)', instead: 'if (false)' }],
   },
   {
     name: 'lostItems',
     rule: 'an unrepeatable task runs twice',
     scenario: 'itemsLost',
     seeds: [1, 2, 3],
-    edits: [{ file: `${store}/lot.js`, text: 'else if (this.#record.repeatable && ', instead: 'else if (' }],
+    edits: [{ file: `${store}/batch/batch.js`, text: 'else if (this.#record.idempotent && ', instead: 'else if (' }],
   },
   {
     name: 'leaseEpoch',
@@ -37,15 +37,15 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${store}/lotShard.js`,
-        text: 'if (command.lease.epoch < this.#epoch && !this.#started(command.ref))',
+        file: `${store}/batch/batchShard.js`,
+        text: 'if (command.lease.term < this.#term && !this.#started(command.ref))',
         instead: 'if (false)',
       },
       {
-        file: `${store}/lot.js`,
+        file: `${store}/batch/batch.js`,
         text: [
           'if (!sameLease(item.lease, lease))',
-          "            return { done: false, why: 'lease' };",
+          "            return { done: false, reason: 'lease' };",
           "        if (item.state === 'DISPATCHED')",
         ].join('\n'),
         instead: "if (item.state === 'DISPATCHED' || item.state === 'QUEUED')",
@@ -58,7 +58,7 @@
     scenario: 'modelsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarder.js`, text: 'ran ||= !notRun;', instead: '' }],
+    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'ran ||= !notRun;', instead: '' }],
   },
   {
     name: 'cutIsNoEnd',
@@ -66,7 +66,14 @@
     scenario: 'streamsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarder.js`, text: "return { back: { t: 'cut', why", instead: "return { back: { t: 'streamed', why" }],
+    edits: [
+      {
+        file: `${proxy}/forwarding/forwarder.js`,
+        text: `return {
+                        result: { kind: 'cut', reason`,
+        instead: "return { result: { kind: 'streamed', reason",
+      },
+    ],
   },
   {
     name: 'oneTryAStream',
@@ -74,7 +81,7 @@
     scenario: 'streamsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarder.js`, text: 'if (pieces > 0)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'if (pieces > 0)', instead: 'if (false)' }],
   },
   {
     name: 'leavingIsNotRouted',
@@ -83,9 +90,9 @@
     seeds: [1, 2, 3],
     ci: true,
     edits: [
-      { file: `${proxy}/newsDesk.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
+      { file: `${proxy}/updates/routingState.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
       // A replica that says nothing more is left for last, which holds this rule too.
-      { file: `${proxy}/room.js`, text: 'fit.filter((row) => !row.late)', instead: 'fit' },
+      { file: `${proxy}/selection/slotPool.js`, text: 'fit.filter((row) => !row.late)', instead: 'fit' },
     ],
   },
   {
@@ -96,19 +103,19 @@
     ci: true,
     edits: [
       {
-        file: `${proxy}/forwarder.js`,
-        text: 'const rule = setup.services[task.service];',
-        instead: "const rule = setup.services[task.service] ?? setup.services['memo'];",
+        file: `${proxy}/forwarding/forwarder.js`,
+        text: 'const rule = configuration.services[task.service];',
+        instead: "const rule = configuration.services[task.service] ?? configuration.services['memo'];",
       },
       {
-        file: `${proxy}/newsDesk.js`,
-        text: 'this.#tables.setup?.services[replica.service]',
-        instead: "(this.#tables.setup?.services[replica.service] ?? this.#tables.setup?.services['memo'])",
+        file: `${proxy}/updates/routingState.js`,
+        text: 'this.#tables.configuration?.services[replica.service]',
+        instead: "(this.#tables.configuration?.services[replica.service] ?? this.#tables.configuration?.services['memo'])",
       },
       {
-        file: `${proxy}/newsDesk.js`,
-        text: 'const rule = setup.services[replica.service];',
-        instead: "const rule = setup.services[replica.service] ?? setup.services['memo'];",
+        file: `${proxy}/updates/routingState.js`,
+        text: 'const rule = configuration.services[replica.service];',
+        instead: "const rule = configuration.services[replica.service] ?? configuration.services['memo'];",
       },
     ],
   },
@@ -118,7 +125,7 @@
     scenario: 'pruneUnheard',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${controller}/freshKeeper.js`, text: 'return known && ', instead: 'return true || ' }],
+    edits: [{ file: `${controller}/configuration/configurationFreshness.js`, text: 'return known && ', instead: 'return true || ' }],
   },
   {
     name: 'freshAfterAFreeze',
@@ -127,8 +134,8 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${proxy}/newsDesk.js`,
-        text: 'return this.#options.clock.nowMs() - this.#freshFromMs <= setup.bounds.freshMs;',
+        file: `${proxy}/updates/routingState.js`,
+        text: 'return this.#options.clock.nowMs() - this.#freshFromMs <= configuration.bounds.freshnessMs;',
         instead: 'return true;',
       },
     ],
@@ -140,9 +147,9 @@
     seeds: [1, 2, 3],
     ci: true,
     edits: [
-      { file: `${consensus}/member.js`, text: 'await this.#state.persist(', instead: 'void this.#state.persist(' },
+      { file: `${consensus}/shard/member.js`, text: 'await this.#state.persist(', instead: 'void this.#state.persist(' },
       {
-        file: `${consensus}/leadership.js`,
+        file: `${consensus}/election/leadership.js`,
         text: 'this.#majorityOf((follower) => follower.match, this.#synced)',
         instead: 'this.#majorityOf((follower) => follower.match, this.#state.log.lastIndex)',
       },
@@ -153,7 +160,7 @@
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'racingOperators',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/setupShard.js`, text: 'plan.base !== version || ', instead: '' }],
+    edits: [{ file: `${controller}/configuration/configurationShard.js`, text: 'plan.base !== version || ', instead: '' }],
   },
   {
     name: 'termBeforeARead',
@@ -161,8 +168,12 @@
     scenario: 'ownerCutOff',
     seeds: [1, 3],
     edits: [
-      { file: `${consensus}/member.js`, text: 'await this.#serving().confirmLeadership();', instead: 'this.#serving();' },
-      { file: `${consensus}/member.js`, text: 'if (leadership.majorityAgeMs() > ', instead: 'if (false && leadership.majorityAgeMs() > ' },
+      { file: `${consensus}/shard/member.js`, text: 'await this.#serving().confirmLeadership();', instead: 'this.#serving();' },
+      {
+        file: `${consensus}/shard/member.js`,
+        text: 'if (leadership.majorityAgeMs() > ',
+        instead: 'if (false && leadership.majorityAgeMs() > ',
+      },
     ],
   },
   {
@@ -170,7 +181,9 @@
     rule: 'an accepted lot is lost, doubled or changed',
     scenario: 'ownerDiesAfterAccept',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/member.js`, text: 'missedHeartbeats && this.#isSuccessor())', instead: 'missedHeartbeats && false)' }],
+    edits: [
+      { file: `${consensus}/shard/member.js`, text: 'missedHeartbeats && this.#isSuccessor())', instead: 'missedHeartbeats && false)' },
+    ],
   },
   {
     name: 'emptyDiskHasNoVote',
@@ -180,7 +193,7 @@
     ci: true,
     edits: [
       {
-        file: `${consensus}/shardHost.js`,
+        file: `${consensus}/shard/shardHost.js`,
         text: 'const memberId = (this.#options.mintMemberId ?? randomUUID)();',
         instead: 'const memberId = `${this.#options.name}-${shard}`;',
       },
@@ -192,7 +205,7 @@
     scenario: 'endedWhileFrozen',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/lotRunner.js`, text: 'if (started?.done === false)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/batch-runner/batchRunner.js`, text: 'if (started?.done === false)', instead: 'if (false)' }],
   },
   {
     name: 'unreachableCandidateIsPassedOver',
@@ -201,7 +214,11 @@
     seeds: [1, 2, 3],
     ci: true,
     edits: [
-      { file: `${controller}/roleOffers.js`, text: 'return [...sooner, ...later].flatMap(', instead: 'return order.slice(0, 1).flatMap(' },
+      {
+        file: `${controller}/roles/roleOffers.js`,
+        text: 'return [...sooner, ...later].flatMap(',
+        instead: 'return order.slice(0, 1).flatMap(',
+      },
     ],
   },
   {
@@ -209,7 +226,7 @@
     rule: 'an accepted batch item waits too long for its start',
     scenario: 'bothRolesCutOff',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/roleLeaseGrantor.js`, text: 'return this.#lapsed(role);', instead: 'return false;' }],
+    edits: [{ file: `${controller}/roles/roleLeaseGrantor.js`, text: 'return this.#lapsed(role);', instead: 'return false;' }],
   },
   {
     name: 'roundBeforeAVerdict',
@@ -217,16 +234,20 @@
     scenario: 'configurationLeaderCutOff',
     seeds: [1, 2, 3],
     edits: [
-      { file: `${consensus}/member.js`, text: 'await this.#serving().confirmLeadership();', instead: 'this.#serving();' },
-      { file: `${consensus}/member.js`, text: 'if (leadership.majorityAgeMs() > ', instead: 'if (false && leadership.majorityAgeMs() > ' },
+      { file: `${consensus}/shard/member.js`, text: 'await this.#serving().confirmLeadership();', instead: 'this.#serving();' },
+      {
+        file: `${consensus}/shard/member.js`,
+        text: 'if (leadership.majorityAgeMs() > ',
+        instead: 'if (false && leadership.majorityAgeMs() > ',
+      },
     ],
   },
   {
     name: 'silentMemberIsAskedLast',
     rule: 'an accepted batch item waits too long for its start',
-    scenario: 'lotLeaderCutOff',
+    scenario: 'batchLeaderCutOff',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/leaderFinder.js`, text: 'silentMs(a) === silentMs(b) ? 0', instead: 'true ? 0' }],
+    edits: [{ file: `${consensus}/protocol/leaderFinder.js`, text: 'silentMs(a) === silentMs(b) ? 0', instead: 'true ? 0' }],
   },
   {
     name: 'waitingPurse',
@@ -237,8 +258,8 @@
     edits: [
       {
         file: `${rateLimit}/account.js`,
-        text: 'this.waiting = new Purse(shareOf(bounds.rate, bounds.waitingRatio)',
-        instead: 'this.waiting = new Purse(shareOf(bounds.rate, 1)',
+        text: 'this.waiting = new LocalAllowance(shareOf(bounds.rate, bounds.waitingRatio)',
+        instead: 'this.waiting = new LocalAllowance(shareOf(bounds.rate, 1)',
       },
       {
         file: `${rateLimit}/account.js`,
@@ -263,7 +284,9 @@
     edits: [
       {
         file: `${membership}/membership.js`,
-        text: "if (card?.name === this.name && this.#state === 'here' && (",
+        text: `if (nodeRecord?.name === this.name &&
+            this.#state === 'here' &&
+            (`,
         instead: 'if (false && (',
       },
     ],
@@ -273,29 +296,31 @@
     rule: 'a success is not the whole, genuine return',
     scenario: exchanges,
     seeds: [1, 2, 3],
-    edits: [{ file: `${proxy}/connectionPool.js`, text: 'if (headerOf(raw, this.#options.idHeader) !== id)', instead: 'if (false)' }],
+    edits: [
+      { file: `${proxy}/connections/connectionPool.js`, text: 'if (headerOf(raw, this.#options.idHeader) !== id)', instead: 'if (false)' },
+    ],
   },
   {
     name: 'ranIsNotSentAgain',
     rule: 'an unrepeatable task runs twice',
     scenario: exchanges,
     seeds: [1, 2, 3],
-    edits: [{ file: `${proxy}/exchanges.js`, text: 'if (progress.ran && !repeatable)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/proxyHandler.js`, text: 'if (progress.ran && !idempotent)', instead: 'if (false)' }],
   },
   {
     name: 'wordlessRefusal',
     rule: 'a refused task runs after all',
     scenario: exchanges,
     seeds: [1, 2, 3],
-    edits: [{ file: `${proxy}/exchangeAttempt.js`, text: 'if (promises.has(this.#status))', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/upstreamAttempt.js`, text: 'if (promises.has(this.#status))', instead: 'if (false)' }],
   },
   {
     name: 'noIdTwiceOnAConnection',
     rule: 'a success is not the whole, genuine return',
     scenario: itemRuns,
     seeds: [1, 2, 3],
-    edits: [{ file: `${proxy}/connectionPool.js`, text: '!recentIds.includes(id)', instead: 'true' }],
+    edits: [{ file: `${proxy}/connections/connectionPool.js`, text: '!recentIds.includes(id)', instead: 'true' }],
   },
-  ...controlGuards,
-  ...consensusGuards,
+  ...controlMutations,
+  ...consensusMutations,
 ];
--- a/testing/simulator/src/guards/runGuards.ts
+++ b/testing/simulator/src/mutation/runMutations.ts
@@ -3,14 +3,14 @@
 import { join } from 'node:path';
 import * as v from 'valibot';
 import { errorLine } from '@pewterlanding/runtime';
-import type { Guard } from './guard.js';
+import type { Mutation } from './mutation.js';
 import { ScratchTree } from './scratchTree.js';
 
 const Verdicts = v.array(v.object({ seed: v.number(), rule: v.string(), judged: v.number(), broken: v.number() }));
 type Verdicts = v.InferOutput<typeof Verdicts>;
 
 interface Outcome {
-  readonly guard: Guard;
+  readonly mutation: Mutation;
   /** Seeds under which the rule was broken with the guard out, and those of them that the untouched tree kept, having judged it. */
   readonly red: readonly number[];
   readonly green: readonly number[];
@@ -55,24 +55,24 @@
   return all;
 }
 
-function verdictsIn(tree: string, { scenario, rule, seeds }: Guard): Promise<Verdicts> {
+function verdictsIn(tree: string, { scenario, rule, seeds }: Mutation): Promise<Verdicts> {
   return scenario.endsWith('.test.js') ? propertyVerdicts(tree, scenario, rule, seeds) : verdictsOf(tree, scenario, seeds);
 }
 
 /** Takes each guard out in a copy of the built tree and runs its scenario: red without it, green with it, under the same seeds. */
-export async function runGuards(root: string, guards: readonly Guard[], say: (line: string) => void): Promise<readonly Outcome[]> {
+export async function runMutations(root: string, mutations: readonly Mutation[], say: (line: string) => void): Promise<readonly Outcome[]> {
   const outcomes: Outcome[] = [];
-  const queue = [...guards];
+  const queue = [...mutations];
   const work = async (): Promise<void> => {
-    for (let guard = queue.shift(); guard !== undefined; guard = queue.shift()) {
-      const outcome = await runOne(root, guard).catch((error: unknown) => {
+    for (let mutation = queue.shift(); mutation !== undefined; mutation = queue.shift()) {
+      const outcome = await runOne(root, mutation).catch((error: unknown) => {
         // A run that comes to no verdicts shows nothing.
-        say(`${guard.name}: ${errorLine(error)}`);
-        return { guard, red: [], green: [], held: false };
+        say(`${mutation.name}: ${errorLine(error)}`);
+        return { mutation, red: [], green: [], held: false };
       });
       outcomes.push(outcome);
       const { red, green, held } = outcome;
-      say(`${held ? 'holds    ' : 'NOT SHOWN'} ${guard.name}: red ${named(red)}, green ${named(green)} (${guard.scenario})`);
+      say(`${held ? 'holds    ' : 'NOT SHOWN'} ${mutation.name}: red ${named(red)}, green ${named(green)} (${mutation.scenario})`);
     }
   };
   await Promise.all(Array.from({ length: Math.max(1, Math.min(6, availableParallelism() - 1)) }, work));
@@ -81,16 +81,16 @@
 
 const named = (seeds: readonly number[]): string => seeds.join(',') || 'never';
 
-async function runOne(root: string, guard: Guard): Promise<Outcome> {
+async function runOne(root: string, mutation: Mutation): Promise<Outcome> {
   const tree = await ScratchTree.copy(root);
   try {
-    await tree.takeOut(guard);
-    const without = await verdictsIn(tree.folder, guard);
-    const within = await verdictsIn(root, guard);
-    const red = without.filter((one) => one.rule === guard.rule && one.broken > 0).map((one) => one.seed);
-    const green = within.filter((one) => one.rule === guard.rule && one.broken === 0 && one.judged > 0).map((one) => one.seed);
+    await tree.takeOut(mutation);
+    const without = await verdictsIn(tree.folder, mutation);
+    const within = await verdictsIn(root, mutation);
+    const red = without.filter((one) => one.rule === mutation.rule && one.broken > 0).map((one) => one.seed);
+    const green = within.filter((one) => one.rule === mutation.rule && one.broken === 0 && one.judged > 0).map((one) => one.seed);
     // Every named seed is green with the guard in; every one is red without it.
-    return { guard, red, green, held: red.length === guard.seeds.length && green.length === guard.seeds.length };
+    return { mutation, red, green, held: red.length === mutation.seeds.length && green.length === mutation.seeds.length };
   } finally {
     await tree.remove();
   }
--- a/testing/simulator/src/guards/scratchTree.ts
+++ b/testing/simulator/src/mutation/scratchTree.ts
@@ -1,9 +1,10 @@
+import { existsSync } from 'node:fs';
 import { cp, mkdir, mkdtemp, readdir, readFile, rm, symlink, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { FindingsError } from '@pewterlanding/runtime';
-import type { Finding } from '@pewterlanding/runtime';
-import type { Guard } from './guard.js';
+import { FindingsError } from '@pewterlanding/model';
+import type { Finding } from '@pewterlanding/model';
+import type { Mutation } from './mutation.js';
 
 const kinds = ['packages', 'programs', 'testing'];
 const scope = '@pewterlanding';
@@ -24,7 +25,7 @@
       if (name !== scope) await symlink(join(root, 'node_modules', name), join(modules, name));
     }
     for (const kind of kinds) {
-      for (const name of await readdir(join(root, kind))) {
+      for (const name of await builtFolders(join(root, kind))) {
         const to = join(tree.folder, kind, name);
         await cp(join(root, kind, name, 'dist'), join(to, 'dist'), { recursive: true });
         await cp(join(root, kind, name, 'package.json'), join(to, 'package.json'));
@@ -35,13 +36,13 @@
   }
 
   /** Takes a guard out. A text that is not there exactly once is an error: the list is out of date. */
-  async takeOut(guard: Guard): Promise<void> {
+  async takeOut(mutation: Mutation): Promise<void> {
     const findings: Finding[] = [];
-    for (const { file, text, instead } of guard.edits) {
+    for (const { file, text, instead } of mutation.edits) {
       const path = join(this.folder, file);
       const before = await readFile(path, 'utf8').catch(() => '');
       const found = before.split(text).length - 1;
-      if (found !== 1) findings.push({ place: `${guard.name}: ${file}`, message: `${found} times in it: ${text}` });
+      if (found !== 1) findings.push({ place: `${mutation.name}: ${file}`, message: `${found} times in it: ${text}` });
       else
         await writeFile(
           path,
@@ -55,3 +56,9 @@
     await rm(this.folder, { recursive: true, force: true });
   }
 }
+
+/** The folders of a kind that hold a built package; others, such as fixtures, are no code. */
+async function builtFolders(folder: string): Promise<readonly string[]> {
+  const names = await readdir(folder);
+  return names.filter((name) => existsSync(join(folder, name, 'dist')));
+}
--- a/testing/simulator/src/real/aim.ts
+++ b/testing/simulator/src/real/aim.ts
@@ -1,4 +1,4 @@
-import { check } from '@pewterlanding/runtime';
+import { check } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
 import type { Daemon } from './daemon.js';
 import type { Fleet } from './fleet.js';
@@ -43,7 +43,7 @@
     const read = check(views.shards, (await fleet.controller('GET', '/v1/shards')).body);
     if (!read.ok) return false;
     return read.value.shards.every(
-      ({ view }) => view !== undefined && view.behind.every((one) => one.behind === 0) && view.group.every((seat) => seat.isVoter),
+      ({ view }) => view !== undefined && view.behind.every((one) => one.behind === 0) && view.group.every((member) => member.isVoter),
     );
   },
 };
--- a/testing/simulator/src/real/drive.ts
+++ b/testing/simulator/src/real/drive.ts
@@ -2,10 +2,10 @@
 import * as v from 'valibot';
 import { Caller } from '@pewterlanding/stand-ins';
 import type { ToldRecord } from '@pewterlanding/stand-ins';
-import type { Address } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
 import type { Deployment } from './deployment.js';
 import type { Fleet } from './fleet.js';
-import type { Happening } from '../history/happening.js';
+import type { HistoryEvent } from '../history/historyEvent.js';
 
 type Traffic = Deployment['traffic'][number];
 
@@ -13,14 +13,14 @@
   readonly fleet: Fleet;
   readonly traffic: readonly Traffic[];
   /** Services whose tasks may be repeated, and those whose returns are streams. */
-  readonly repeatable: ReadonlySet<string>;
+  readonly idempotent: ReadonlySet<string>;
   readonly streamed: ReadonlySet<string>;
   readonly random: () => number;
-  readonly note: (happening: Happening) => void;
+  readonly note: (historyEvent: HistoryEvent) => void;
   readonly told: (record: ToldRecord) => void;
 }
 
-interface OpenLot {
+interface OpenBatch {
   readonly key: string;
   readonly path: string;
   readsLeft: number;
@@ -44,8 +44,8 @@
 export class Drive {
   readonly #options: DriveOptions;
   readonly #caller: Caller;
-  readonly #lots: OpenLot[] = [];
-  readonly #branches = new Map<string, string>();
+  readonly #batches: OpenBatch[] = [];
+  readonly #quotas = new Map<string, string>();
   readonly #timers: NodeJS.Timeout[] = [];
   #reading: NodeJS.Timeout | undefined;
   #ready: readonly Address[];
@@ -62,11 +62,11 @@
     this.#timers.push(setInterval(() => void this.#poll(), pollMs));
     // Somebody asks for what no setup ever allowed, and somebody announces it.
     this.#timers.push(setInterval(() => this.#stray(), strayMs));
-    this.#reading = setInterval(() => this.#lots.forEach((lot) => void this.#read(lot)), readMs);
+    this.#reading = setInterval(() => this.#batches.forEach((batch) => void this.#read(batch)), readMs);
     for (const traffic of this.#options.traffic) {
-      const perSecond = traffic.lotItems === undefined ? traffic.perSecond : traffic.perSecond / traffic.lotItems;
+      const perSecond = traffic.batchItems === undefined ? traffic.perSecond : traffic.perSecond / traffic.batchItems;
       this.#timers.push(
-        setInterval(() => (traffic.lotItems === undefined ? this.ask(traffic) : void this.hand(traffic)), 1000 / perSecond),
+        setInterval(() => (traffic.batchItems === undefined ? this.ask(traffic) : void this.hand(traffic)), 1000 / perSecond),
       );
     }
   }
@@ -82,56 +82,56 @@
   }
 
   /** Whose lot an item's key belongs to. */
-  branchOf(key: string): string | undefined {
-    return this.#branches.get(key.split('/')[0] ?? '');
+  quotaOf(key: string): string | undefined {
+    return this.#quotas.get(key.split('/')[0] ?? '');
   }
 
   /** Hands in one lot, again under its key until it is told what became of it. */
-  async hand(traffic: Traffic, items = traffic.lotItems ?? 1, branch = this.#pick(traffic.branches)): Promise<void> {
+  async hand(traffic: Traffic, items = traffic.batchItems ?? 1, quota = this.#pick(traffic.quotas)): Promise<void> {
     this.#handed += 1;
     const number = this.#handed;
     const key = `lot${number}`;
-    const path = await this.#handUntilTold(key, key, traffic, items, branch, number % wrongOneOf === 3 ? 900_000 : traffic.padBytes);
+    const path = await this.#handUntilTold(key, key, traffic, items, quota, number % wrongOneOf === 3 ? 900_000 : traffic.padBytes);
     if (path === undefined) return;
-    this.#lots.push({ key, path, readsLeft: 5 });
+    this.#batches.push({ key, path, readsLeft: 5 });
     if (number % endedOneOf === 2) setTimeout(() => void this.#end(key, path), 20 + this.#options.random() * 300);
-    if (number % reusedOneOf === 1) await this.#handUntilTold(`${key}other`, key, traffic, items, branch, traffic.padBytes);
+    if (number % reusedOneOf === 1) await this.#handUntilTold(`${key}other`, key, traffic, items, quota, traffic.padBytes);
   }
 
   /** Ends every lot that is not done; how many were. */
   async endAll(): Promise<number> {
-    const open = this.#lots.filter((lot) => lot.readsLeft > 0);
-    await Promise.all(open.map((lot) => this.#end(lot.key, lot.path)));
+    const open = this.#batches.filter((batch) => batch.readsLeft > 0);
+    await Promise.all(open.map((batch) => this.#end(batch.key, batch.path)));
     return open.length;
   }
 
-  openLots(): number {
-    return this.#lots.filter((lot) => lot.readsLeft > 0).length;
+  openBatches(): number {
+    return this.#batches.filter((batch) => batch.readsLeft > 0).length;
   }
 
   ask(traffic: Traffic): void {
-    this.#ask(traffic.service, this.#pick(traffic.branches), traffic.padBytes);
+    this.#ask(traffic.service, this.#pick(traffic.quotas), traffic.padBytes);
   }
 
-  #ask(service: string, branch: string, padBytes: number): void {
-    const { note, repeatable, streamed } = this.#options;
+  #ask(service: string, quota: string, padBytes: number): void {
+    const { note, idempotent, streamed } = this.#options;
     this.#sent += 1;
     const key = `task${this.#sent}`;
     const front = this.#pick(this.#ready);
     const kind = streamed.has(service) ? 'streamed' : 'whole';
-    note({ t: 'sent', atMs: Date.now(), key, service, repeatable: repeatable.has(service), kind, branch, front });
-    void this.#caller.ask(front, branch, service, key, padBytes);
+    note({ type: 'sent', atMs: Date.now(), key, service, idempotent: idempotent.has(service), kind, quota, front });
+    void this.#caller.ask(front, quota, service, key, padBytes);
   }
 
   #stray(): void {
     const [first] = this.#options.traffic;
     const [replica] = this.#options.fleet.replicas;
     if (first === undefined || replica === undefined) return;
-    this.#ask('ghost', this.#pick(first.branches), 10);
+    this.#ask('ghost', this.#pick(first.quotas), 10);
     const body = JSON.stringify({ service: 'ghost', address: replica.address, slots: 16, incarnation: Date.now(), state: 'serving' });
     const post = { method: 'POST', headers: { 'content-type': 'application/json' }, body, headersTimeout: 2000 } as const;
     request(`http://${this.#pick(this.#ready)}/v1/replicas`, post).then(
-      (back) => back.body.dump(),
+      (response) => response.body.dump(),
       () => undefined,
     );
   }
@@ -141,31 +141,31 @@
     key: string,
     traffic: Traffic,
     items: number,
-    branch: string,
+    quota: string,
     pad: number,
   ): Promise<string | undefined> {
-    const { note, repeatable } = this.#options;
+    const { note, idempotent } = this.#options;
     const { service } = traffic;
-    this.#branches.set(name, branch);
-    const ids = Array.from({ length: items }, (_, place) => `item${place}`);
+    this.#quotas.set(name, quota);
+    const ids = Array.from({ length: items }, (_, position) => `item${position}`);
     for (const id of ids) {
-      note({ t: 'sent', atMs: Date.now(), key: `${name}/${id}`, service, repeatable: repeatable.has(service), kind: 'lot', branch });
+      note({ type: 'sent', atMs: Date.now(), key: `${name}/${id}`, service, idempotent: idempotent.has(service), kind: 'batch', quota });
     }
     // One item that is too dear is enough for the whole lot to be refused.
-    const padOf = (place: number): number => (place === 0 ? pad : traffic.padBytes);
-    const given = ids.map((id, place) => ({ id, input: { key: `${name}/${id}`, pad: 'x'.repeat(padOf(place)) } }));
-    const body = JSON.stringify({ service, items: given });
-    const headers = { 'content-type': 'application/json', branch, 'idempotency-key': key };
-    for (let tries = 0; tries < 30; tries += 1) {
+    const padOf = (position: number): number => (position === 0 ? pad : traffic.padBytes);
+    const granted = ids.map((id, position) => ({ id, input: { key: `${name}/${id}`, pad: 'x'.repeat(padOf(position)) } }));
+    const body = JSON.stringify({ service, items: granted });
+    const headers = { 'content-type': 'application/json', branch: quota, 'idempotency-key': key };
+    for (let attempts = 0; attempts < 30; attempts += 1) {
       const url = `http://${this.#pick(this.#ready)}/v1/lots`;
-      const back = await request(url, { method: 'POST', headers, body, headersTimeout: 8000 }).catch(() => undefined);
-      await back?.body.dump().catch(() => undefined);
-      if (back?.statusCode === 201) {
-        note({ t: 'lotAccepted', atMs: Date.now(), lot: name, branch, items: ids });
-        return String(back.headers['location']);
+      const response = await request(url, { method: 'POST', headers, body, headersTimeout: 8000 }).catch(() => undefined);
+      await response?.body.dump().catch(() => undefined);
+      if (response?.statusCode === 201) {
+        note({ type: 'batchAccepted', atMs: Date.now(), batch: name, quota, items: ids });
+        return String(response.headers['location']);
       }
-      if (back !== undefined && final.has(back.statusCode)) {
-        note({ t: 'lotRefused', atMs: Date.now(), lot: name, items: ids });
+      if (response !== undefined && final.has(response.statusCode)) {
+        note({ type: 'batchRefused', atMs: Date.now(), batch: name, items: ids });
         return undefined;
       }
       await new Promise((resolve) => setTimeout(resolve, 500));
@@ -175,40 +175,43 @@
 
   #told(record: ToldRecord): void {
     const { key, outcome, status, wrong, atMs, pieces } = record;
-    this.#options.note({ t: 'told', atMs, key, outcome, status, wrong, ...(pieces === undefined ? {} : { pieces: [...pieces] }) });
+    this.#options.note({ type: 'told', atMs, key, outcome, status, wrong, ...(pieces === undefined ? {} : { pieces: [...pieces] }) });
     this.#options.told(record);
   }
 
   async #end(key: string, path: string): Promise<void> {
-    const back = await request(`http://${this.#pick(this.#ready)}${path}`, { method: 'DELETE', headersTimeout: 8000 }).catch(
+    const response = await request(`http://${this.#pick(this.#ready)}${path}`, { method: 'DELETE', headersTimeout: 8000 }).catch(
       () => undefined,
     );
-    await back?.body.dump().catch(() => undefined);
-    if (back?.statusCode === 204) this.#options.note({ t: 'lotEnded', atMs: Date.now(), lot: key });
+    await response?.body.dump().catch(() => undefined);
+    if (response?.statusCode === 204) this.#options.note({ type: 'batchEnded', atMs: Date.now(), batch: key });
   }
 
-  async #read(lot: OpenLot): Promise<void> {
-    if (lot.readsLeft === 0) return;
+  async #read(batch: OpenBatch): Promise<void> {
+    if (batch.readsLeft === 0) return;
     const askedMs = Date.now();
-    const back = await request(`http://${this.#pick(this.#ready)}${lot.path}/results`, { headersTimeout: 8000 }).catch(() => undefined);
-    const text = await back?.body.text().catch(() => undefined);
-    const page = back?.statusCode === 200 && text !== undefined ? v.safeParse(v.pipe(v.string(), v.parseJson(), Page), text) : undefined;
-    if (page?.success === true && page.output.done) lot.readsLeft -= 1;
+    const response = await request(`http://${this.#pick(this.#ready)}${batch.path}/results`, { headersTimeout: 8000 }).catch(
+      () => undefined,
+    );
+    const text = await response?.body.text().catch(() => undefined);
+    const page =
+      response?.statusCode === 200 && text !== undefined ? v.safeParse(v.pipe(v.string(), v.parseJson(), Page), text) : undefined;
+    if (page?.success === true && page.output.done) batch.readsLeft -= 1;
     const results =
       page?.success === true
         ? page.output.results.map(({ id, state, output }) => ({ id, result: `${state} ${JSON.stringify(output)}` }))
         : [];
-    const found = page?.success === true ? 'yes' : back?.statusCode === 404 ? 'no' : 'silent';
-    this.#options.note({ t: 'lotRead', askedMs, atMs: Date.now(), lot: lot.key, found, results });
+    const found = page?.success === true ? 'yes' : response?.statusCode === 404 ? 'no' : 'silent';
+    this.#options.note({ type: 'batchRead', askedMs, atMs: Date.now(), batch: batch.key, found, results });
   }
 
   async #poll(): Promise<void> {
     const all = this.#options.fleet.fronts();
     const ready = await Promise.all(
       all.map(async (front) => {
-        const back = await request(`http://${front}/ready`, { headersTimeout: 800, bodyTimeout: 800 }).catch(() => undefined);
-        await back?.body.dump().catch(() => undefined);
-        return back?.statusCode === 200 ? [front] : [];
+        const response = await request(`http://${front}/ready`, { headersTimeout: 800, bodyTimeout: 800 }).catch(() => undefined);
+        await response?.body.dump().catch(() => undefined);
+        return response?.statusCode === 200 ? [front] : [];
       }),
     );
     if (ready.flat().length > 0) this.#ready = ready.flat();
--- a/testing/simulator/src/real/fleet.ts
+++ b/testing/simulator/src/real/fleet.ts
@@ -2,8 +2,8 @@
 import { join } from 'node:path';
 import { request } from 'undici';
 import * as v from 'valibot';
-import { Address, addressParts, check } from '@pewterlanding/runtime';
-import type { Boot } from '@pewterlanding/runtime';
+import { Address, addressParts, check } from '@pewterlanding/model';
+import type { BootSettings } from '@pewterlanding/runtime';
 import { StandInReplica } from '@pewterlanding/stand-ins';
 import type { RunRecord } from '@pewterlanding/stand-ins';
 import { views } from '@pewterlanding/pewterctl';
@@ -14,8 +14,8 @@
 
 interface FleetOptions {
   readonly deployment: Deployment;
-  readonly boots: ReadonlyMap<string, Boot>;
-  readonly setup: Readonly<Record<string, unknown>>;
+  readonly boots: ReadonlyMap<string, BootSettings>;
+  readonly configuration: Readonly<Record<string, unknown>>;
   readonly folder: string;
   readonly random: () => number;
   readonly ran: (record: RunRecord) => void;
@@ -44,14 +44,14 @@
   readonly replicas: readonly StandInReplica[];
   readonly links: Links | undefined;
   readonly #options: FleetOptions;
-  readonly #boots: Map<string, Boot>;
+  readonly #boots: Map<string, BootSettings>;
   readonly #programs = new Map<string, Program>();
 
   constructor(options: FleetOptions) {
     this.#options = options;
     this.#boots = new Map(options.boots);
     this.links = options.links === true ? new Links() : undefined;
-    for (const { program, boot } of options.deployment.processes) this.#add(program, boot);
+    for (const { program, bootSettings } of options.deployment.processes) this.#add(program, bootSettings);
     const fronts = this.fronts();
     const { random, ran } = options;
     this.replicas = options.deployment.replicas.map((replica) => new StandInReplica({ ...replica, fronts, announceMs: 1000, random, ran }));
@@ -77,9 +77,9 @@
 
   /** The IP number of a machine. */
   hostOf(machine: string): string {
-    const boot = this.#boots.get(machine) ?? this.#boots.get(`${machine}.agent`);
-    if (boot === undefined) throw new Error(`no machine ${machine}`);
-    return addressParts(boot.listen).host;
+    const bootSettings = this.#boots.get(machine) ?? this.#boots.get(`${machine}.agent`);
+    if (bootSettings === undefined) throw new Error(`no machine ${machine}`);
+    return addressParts(bootSettings.listen).host;
   }
 
   /** Starts everything; resolves once the controller serves, with nothing confirmed yet. */
@@ -102,7 +102,7 @@
 
   async ready(patienceMs: number): Promise<void> {
     const all = async (): Promise<boolean> =>
-      (await Promise.all(this.fronts().map((front) => ask('GET', front, '/ready')))).every((back) => back.status === 200);
+      (await Promise.all(this.fronts().map((front) => ask('GET', front, '/ready')))).every((response) => response.status === 200);
     await until('every front is ready', all, patienceMs);
   }
 
@@ -112,7 +112,7 @@
     if (http === undefined) throw new Error(`no HTTP at ${key}`);
     const up = (): Promise<boolean> =>
       ask('GET', http, '/status').then(
-        (back) => back.status === 200,
+        (response) => response.status === 200,
         () => false,
       );
     await until(`${key} serves`, up, patienceMs);
@@ -122,24 +122,24 @@
   async addMachine(kind: 'controller' | 'store'): Promise<Added> {
     const numbers = [...this.#boots.keys()].filter((key) => key.startsWith(`${kind}-`)).map((key) => Number(key.slice(kind.length + 1)));
     const number = Math.max(...numbers) + 1;
-    const like = this.#boots.get(`${kind}-1`) ?? [...this.#boots.values()].find((boot) => boot.name.startsWith(`${kind}-`));
+    const like = this.#boots.get(`${kind}-1`) ?? [...this.#boots.values()].find((bootSettings) => bootSettings.name.startsWith(`${kind}-`));
     if (like === undefined) throw new Error(`no ${kind} to do as`);
     const name = `${kind}-${number}`;
     const moved = (address: Address | undefined) =>
       address === undefined ? undefined : v.parse(Address, address.replace(/\.\d+:/, `.${number}:`));
     const listen = v.parse(Address, moved(like.listen));
-    const boot = {
+    const bootSettings = {
       ...like,
       name: v.parse(v.pipe(v.string(), v.brand('NodeName')), name),
       listen,
       advertise: moved(like.advertise),
       http: moved(like.http),
     };
-    this.#boots.set(name, boot);
+    this.#boots.set(name, bootSettings);
     this.#add(kind === 'controller' ? 'controller' : 'store', name);
-    if (boot.advertise !== undefined) await this.links?.relay(boot.advertise, listen);
+    if (bootSettings.advertise !== undefined) await this.links?.relay(bootSettings.advertise, listen);
     this.daemon(name).start();
-    return { name, address: boot.advertise ?? listen, zone: boot.zone };
+    return { name, address: bootSettings.advertise ?? listen, zone: bootSettings.zone };
   }
 
   /** A machine that is gone for good. */
@@ -152,7 +152,7 @@
   async sits(machine: string): Promise<boolean> {
     const read = check(views.shards, (await this.controller('GET', '/v1/shards')).body);
     if (!read.ok) return true;
-    return read.value.shards.some(({ view }) => view === undefined || view.group.some((seat) => seat.identity.name === machine));
+    return read.value.shards.some(({ view }) => view === undefined || view.group.some((member) => member.identity.name === machine));
   }
 
   /** From now on each sync on a machine's disk takes so much longer. */
@@ -165,9 +165,9 @@
     const plan = await this.controller('POST', '/v1/plans', proposal);
     const id = check(v.object({ id: v.string() }), plan.body);
     if (!id.ok) throw new Error(`no plan: ${JSON.stringify(plan)}`);
-    const back = await this.controller('POST', `/v1/plans/${id.value.id}/confirm`, { acknowledged });
-    const read = check(v.object({ version: v.number() }), back.body);
-    return back.status === 200 && read.ok ? read.value.version : undefined;
+    const response = await this.controller('POST', `/v1/plans/${id.value.id}/confirm`, { acknowledged });
+    const read = check(v.object({ version: v.number() }), response.body);
+    return response.status === 200 && read.ok ? read.value.version : undefined;
   }
 
   /** Asks the first controller machine that returns. */
@@ -175,9 +175,9 @@
     let last: unknown;
     for (const controller of this.controllers()) {
       try {
-        const back = await ask(method, controller, path, body);
-        if (back.status !== 503) return back;
-        last = back.body;
+        const response = await ask(method, controller, path, body);
+        if (response.status !== 503) return response;
+        last = response.body;
       } catch (error) {
         last = error;
       }
@@ -186,8 +186,8 @@
   }
 
   async known(front: Address): Promise<number> {
-    const back = check(v.object({ replicas: v.array(v.unknown()) }), (await ask('GET', front, '/status')).body);
-    return back.ok ? back.value.replicas.length : 0;
+    const response = check(v.object({ replicas: v.array(v.unknown()) }), (await ask('GET', front, '/status')).body);
+    return response.ok ? response.value.replicas.length : 0;
   }
 
   /** Ends everything; returns the processes that did not end by themselves and cleanly within their grace. */
@@ -217,14 +217,15 @@
   }
 
   async #relayAll(): Promise<void> {
-    for (const boot of this.#boots.values()) if (boot.advertise !== undefined) await this.links?.relay(boot.advertise, boot.listen);
+    for (const bootSettings of this.#boots.values())
+      if (bootSettings.advertise !== undefined) await this.links?.relay(bootSettings.advertise, bootSettings.listen);
   }
 
   #add(program: Program, key: string): void {
-    const boot = this.#boots.get(key);
-    if (boot === undefined) throw new Error(`no boot ${key}`);
-    const { seeds, dataFolder, ...plain } = boot;
-    const folder = dataFolder === undefined ? {} : { dataFolder: this.dataFolder(boot.name) };
+    const bootSettings = this.#boots.get(key);
+    if (bootSettings === undefined) throw new Error(`no boot ${key}`);
+    const { seeds, dataFolder, ...plain } = bootSettings;
+    const folder = dataFolder === undefined ? {} : { dataFolder: this.dataFolder(bootSettings.name) };
     const flags = Object.entries({ ...plain, seeds: seeds.join(','), ...folder });
     const args = flags
       .filter(([flag, value]) => flagNames.includes(flag) && value !== undefined)
@@ -239,11 +240,11 @@
 }
 
 async function ask(method: 'GET' | 'POST', address: Address, path: string, body?: unknown): Promise<Returned> {
-  const back = await request(`http://${address}${path}`, {
+  const response = await request(`http://${address}${path}`, {
     method,
     ...(body === undefined ? {} : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) }),
     headersTimeout: 20_000,
   });
-  const text = await back.body.text();
-  return { status: back.statusCode, body: text === '' ? undefined : JSON.parse(text) };
+  const text = await response.body.text();
+  return { status: response.statusCode, body: text === '' ? undefined : JSON.parse(text) };
 }
--- a/testing/simulator/src/real/fleetDay.ts
+++ b/testing/simulator/src/real/fleetDay.ts
@@ -1,7 +1,7 @@
 import { seededRandom } from '@pewterlanding/runtime';
 import * as v from 'valibot';
 import { briefBounds } from '../history/briefBounds.js';
-import type { Happening } from '../history/happening.js';
+import type { HistoryEvent } from '../history/historyEvent.js';
 import { judge } from '../history/judge.js';
 import { unreadableSpans } from '../history/unreadableSpans.js';
 import { verdictLine } from '../history/verdictLine.js';
@@ -25,7 +25,7 @@
   readonly say: (line: string) => void;
 }
 
-const Services = v.record(v.string(), v.object({ repeatable: v.boolean(), kind: v.picklist(['streamed', 'whole']) }));
+const ServiceRegistry = v.record(v.string(), v.object({ idempotent: v.boolean(), kind: v.picklist(['streamed', 'whole']) }));
 const readBackMs = 2000;
 const recoverMs = 34_000;
 
@@ -33,24 +33,24 @@
 export async function fleetDay(options: FleetDayOptions): Promise<boolean> {
   const { say, seconds } = options;
   const random = seededRandom(options.seed);
-  const history: Happening[] = [];
-  const note = (one: Happening): void => void history.push(one);
+  const history: HistoryEvent[] = [];
+  const note = (one: HistoryEvent): void => void history.push(one);
   const links = options.faults.some((name) => name in linkFaults);
   const read = await readDeployment(options.folder, { net: options.net, links });
-  const services = Object.entries(v.parse(Services, read.setup['services']));
+  const services = Object.entries(v.parse(ServiceRegistry, read.configuration['services']));
   const latency = new Map<string, { readonly atMs: number; readonly waitMs: number }[]>();
   const fleet: Fleet = new Fleet({
     ...read,
     folder: options.data,
     random,
     links,
-    ran: (run) => note({ t: 'ran', ...run, branch: drive.branchOf(run.key) }),
+    ran: (run) => note({ type: 'ran', ...run, quota: drive.quotaOf(run.key) }),
   });
   const { traffic } = read.deployment;
   const drive = new Drive({
     fleet,
     traffic,
-    repeatable: new Set(services.flatMap(([name, service]) => (service.repeatable ? [name] : []))),
+    idempotent: new Set(services.flatMap(([name, service]) => (service.idempotent ? [name] : []))),
     streamed: new Set(services.flatMap(([name, service]) => (service.kind === 'streamed' ? [name] : []))),
     random,
     note,
@@ -69,7 +69,7 @@
   try {
     const startMs = Date.now();
     await fleet.start();
-    if ((await operator.first(read.setup)) === undefined) throw new Error('the setup was not confirmed');
+    if ((await operator.first(read.configuration)) === undefined) throw new Error('the setup was not confirmed');
     await fleet.open();
     say(`${fleet.daemons.size} processes, ${fleet.replicas.length} stand-ins up after ${((Date.now() - startMs) / 1000).toFixed(1)} s`);
     drive.start();
@@ -81,7 +81,7 @@
       const act = chaos[name];
       if (act === undefined) throw new Error(`no fault ${name}`);
       const fromMs = Date.now();
-      note({ t: 'faulted', atMs: fromMs, what: name });
+      note({ type: 'faulted', atMs: fromMs, what: name });
       let took = false;
       const say2 = (target: string, evidence: string): void => {
         took = true;
@@ -94,10 +94,10 @@
       }
       spans.push({ name, fromMs, toMs: Date.now() });
     }
-    note({ t: 'repaired', atMs: Date.now() });
+    note({ type: 'repaired', atMs: Date.now() });
     await pass(recoverMs);
     drive.stop();
-    for (let waits = 0; waits < 60 && drive.openLots() > 0; waits += 1) await pass(500);
+    for (let waits = 0; waits < 60 && drive.openBatches() > 0; waits += 1) await pass(500);
     await pass(3000);
   } finally {
     clearInterval(reading);
@@ -114,26 +114,30 @@
         say(`  ${service} in ${name}: ${sorted.length}, first byte p50 ${quantile(sorted, 0.5)} ms, p99 ${quantile(sorted, 0.99)} ms`);
     }
   }
-  say(`lots not read to the end: ${drive.openLots()}`);
-  const verdicts = judge(history, { ...briefBounds, takeoverMs: briefBounds.recoveryMs, shares: waitingShares(read.setup, traffic) });
+  say(`lots not read to the end: ${drive.openBatches()}`);
+  const verdicts = judge(history, {
+    ...briefBounds,
+    takeoverMs: briefBounds.recoveryMs,
+    shares: waitingShares(read.configuration, traffic),
+  });
   for (const verdict of verdicts) say(verdictLine(verdict));
-  return held && verdicts.every(({ complaints }) => complaints.length === 0);
+  return held && verdicts.every(({ violations }) => violations.length === 0);
 }
 
-function report(history: readonly Happening[], say: (line: string) => void): void {
+function report(history: readonly HistoryEvent[], say: (line: string) => void): void {
   const outcomes: Record<string, number> = {};
   let accepted = 0;
   for (const one of history) {
-    if (one.t === 'told') {
+    if (one.type === 'told') {
       const outcome = one.outcome === 'refused' ? `refused ${one.status ?? 0}` : one.outcome;
       outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
     }
-    if (one.t === 'lotAccepted') accepted += 1;
+    if (one.type === 'batchAccepted') accepted += 1;
   }
   const told = Object.entries(outcomes).map(([outcome, count]) => `${outcome} ${count}`);
   const waits = unreadableSpans(
     [...history].sort((a, b) => a.atMs - b.atMs),
-    briefBounds.lotReadableMs,
+    briefBounds.batchReadableMs,
   )
     .map((span) => span.waitedMs)
     .sort((a, b) => a - b);
--- a/testing/simulator/src/real/ground.ts
+++ b/testing/simulator/src/real/ground.ts
@@ -1,4 +1,4 @@
-import type { Happening } from '../history/happening.js';
+import type { HistoryEvent } from '../history/historyEvent.js';
 import type { Deployment } from './deployment.js';
 import type { Drive } from './drive.js';
 import type { Fleet } from './fleet.js';
@@ -11,7 +11,7 @@
   readonly operator: Operator;
   readonly traffic: Deployment['traffic'];
   readonly random: () => number;
-  readonly note: (happening: Happening) => void;
+  readonly note: (historyEvent: HistoryEvent) => void;
   /** A fault says whom it hit and how it knows that it took hold. A fault that says nothing did nothing, and fails the run. */
   readonly took: (target: string, evidence: string) => void;
 }
--- a/testing/simulator/src/real/linkFaults.ts
+++ b/testing/simulator/src/real/linkFaults.ts
@@ -4,7 +4,7 @@
 import type { Link } from './link.js';
 import { pass } from './pass.js';
 
-const stall: Link = { t: 'stall', delayMs: 0 };
+const stall: Link = { kind: 'stall', delayMs: 0 };
 const cutMs = 8000;
 
 /** Sets links between machines for a while, then mends all of them; the relays tell whether anything was held. */
@@ -15,7 +15,7 @@
   const before = hosts.map(([from, to]) => links.touched(from, to));
   for (const [from, to] of hosts) links.set(from, to, link);
   await pass(forMs);
-  const held = hosts.filter(([from, to], place) => links.touched(from, to) > (before[place] ?? 0)).length;
+  const held = hosts.filter(([from, to], position) => links.touched(from, to) > (before[position] ?? 0)).length;
   links.heal();
   const names = [...new Set(pairs.map(([from, to]) => `${from}>${to}`))];
   if (held > 0)
@@ -61,9 +61,9 @@
     );
   },
   isolateController: (ground) => isolate(ground, aim.pick(aim.names(ground.fleet, 'controller'), ground.random)),
-  isolateSetupOwner: async (ground) => isolate(ground, await aim.owner(ground.fleet, 'setup')),
+  isolateConfigurationLeader: async (ground) => isolate(ground, await aim.owner(ground.fleet, 'setup')),
   isolateStore: (ground) => isolate(ground, aim.pick(aim.names(ground.fleet, 'store'), ground.random)),
-  isolateLotOwner: async (ground) => isolate(ground, await aim.owner(ground.fleet, 'lots-0')),
+  isolateBatchLeader: async (ground) => isolate(ground, await aim.owner(ground.fleet, 'lots-0')),
   isolateFront: (ground) => isolate(ground, aim.pick(aim.names(ground.fleet, 'front'), ground.random)),
   /** A controller machine hears the others, which do not hear it; or the other way round. */
   oneWayCut: (ground) => {
@@ -77,8 +77,8 @@
     );
   },
   /** Everything between machines takes a fifth of a second longer each way. */
-  slowLinks: (ground) => cut(ground, both(all(ground), all(ground)), { t: 'pass', delayMs: 200 }),
+  slowLinks: (ground) => cut(ground, both(all(ground), all(ground)), { kind: 'pass', delayMs: 200 }),
   /** Every circuit between stores and fronts breaks off, and again for as long as it lasts. */
   brokenLinks: (ground) =>
-    cut(ground, both(aim.names(ground.fleet, 'store'), aim.names(ground.fleet, 'front')), { t: 'drop', delayMs: 0 }, 2000),
+    cut(ground, both(aim.names(ground.fleet, 'store'), aim.names(ground.fleet, 'front')), { kind: 'drop', delayMs: 0 }, 2000),
 };
--- a/testing/simulator/src/real/linkProxy.ts
+++ b/testing/simulator/src/real/linkProxy.ts
@@ -24,13 +24,13 @@
   /** Sends what may go now. Called again whenever the link changes. */
   pump(): void {
     const link = this.#link();
-    if (link.t === 'drop') {
+    if (link.kind === 'drop') {
       this.#touched();
       this.#from.destroy();
       this.#to.destroy();
       return;
     }
-    if (link.t === 'stall') {
+    if (link.kind === 'stall') {
       this.#touched();
       this.#from.pause();
       return;
--- a/testing/simulator/src/real/links.ts
+++ b/testing/simulator/src/real/links.ts
@@ -1,11 +1,11 @@
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
-import type { Address } from '@pewterlanding/runtime';
-import { addressParts } from '@pewterlanding/runtime';
+import type { Address } from '@pewterlanding/model';
+import { addressParts } from '@pewterlanding/model';
 import type { Link } from './link.js';
 import { LinkProxy } from './linkProxy.js';
 
-const passing: Link = { t: 'pass', delayMs: 0 };
+const passing: Link = { kind: 'pass', delayMs: 0 };
 
 /**
  * Relays between the machines of a real fleet, run by the harness: each process is dialled at a relay, which knows by the
@@ -66,7 +66,7 @@
       socket.on('close', () => {
         this.#sockets.delete(socket);
         // While the link stalls, the other end cannot know that this one is gone.
-        if (this.#of(dialler, host).t === 'pass' && this.#of(host, dialler).t === 'pass') other.destroy();
+        if (this.#of(dialler, host).kind === 'pass' && this.#of(host, dialler).kind === 'pass') other.destroy();
         else setTimeout(() => other.destroy(), 15_000).unref();
       });
     }
--- a/testing/simulator/src/real/loadFaults.ts
+++ b/testing/simulator/src/real/loadFaults.ts
@@ -14,17 +14,17 @@
     took(first.service, '1,200 tasks in 3 s');
   },
   /** Far more items than any branch's share, from every branch that hands in lots, for a little over a minute. */
-  floodLots: async ({ drive, traffic, took }) => {
-    const lots = traffic.find((one) => one.lotItems !== undefined);
-    if (lots === undefined) return;
+  floodBatches: async ({ drive, traffic, took }) => {
+    const batches = traffic.find((one) => one.batchItems !== undefined);
+    if (batches === undefined) return;
     let items = 0;
     for (let second = 0; second < 75; second += 1) {
-      for (const branch of lots.branches) {
-        if (second % 2 === 0) void drive.hand(lots, 200, branch);
+      for (const quota of batches.quotas) {
+        if (second % 2 === 0) void drive.hand(batches, 200, quota);
         items += second % 2 === 0 ? 200 : 0;
       }
       await pass(1000);
     }
-    took(lots.branches.join(', '), `${items} items in 75 s; ${await drive.endAll()} lots ended after it`);
+    took(batches.quotas.join(', '), `${items} items in 75 s; ${await drive.endAll()} lots ended after it`);
   },
 };
--- a/testing/simulator/src/real/operator.ts
+++ b/testing/simulator/src/real/operator.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
-import { check, mergePatch } from '@pewterlanding/runtime';
+import { check, mergePatch } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
-import type { Happening } from '../history/happening.js';
+import type { HistoryEvent } from '../history/historyEvent.js';
 import type { Fleet } from './fleet.js';
 
 const Named = v.record(v.string(), v.unknown());
@@ -11,14 +11,14 @@
 /** An operator of a real fleet, who writes down what was planned, confirmed, refused and read back. */
 export class Operator {
   readonly #fleet: Fleet;
-  readonly #note: (happening: Happening) => void;
+  readonly #note: (historyEvent: HistoryEvent) => void;
 
-  constructor(fleet: Fleet, note: (happening: Happening) => void) {
+  constructor(fleet: Fleet, note: (historyEvent: HistoryEvent) => void) {
     this.#fleet = fleet;
     this.#note = note;
   }
 
-  async setup(): Promise<Record<string, unknown>> {
+  async configuration(): Promise<Record<string, unknown>> {
     const read = check(views.setup, (await this.#fleet.controller('GET', '/v1/setup')).body);
     if (!read.ok) throw new Error('the setup cannot be read');
     return read.value.setup ?? {};
@@ -26,7 +26,7 @@
 
   /** Plans a shard of a setup and confirms it; the version in force, or undefined when it was refused or nothing is known. */
   async change(part: Record<string, unknown>): Promise<number | undefined> {
-    const before = await this.setup();
+    const before = await this.configuration();
     const made = await this.#fleet.controller('POST', '/v1/plans', { part });
     const plan = check(views.plan, made.body);
     if (!plan.ok) throw new Error(`no plan: ${JSON.stringify(made)}`);
@@ -45,11 +45,11 @@
   async readBack(): Promise<void> {
     const askedMs = Date.now();
     try {
-      const setup = check(views.setup, (await this.#fleet.controller('GET', '/v1/setup')).body);
+      const configuration = check(views.setup, (await this.#fleet.controller('GET', '/v1/setup')).body);
       const history = check(views.history, (await this.#fleet.controller('GET', '/v1/setup/history')).body);
-      if (!setup.ok || !history.ok) return;
-      const { version } = setup.value;
-      this.#note({ t: 'setupRead', askedMs, atMs: Date.now(), version, plans: history.value.history.map((one) => one.plan) });
+      if (!configuration.ok || !history.ok) return;
+      const { version } = configuration.value;
+      this.#note({ type: 'configurationRead', askedMs, atMs: Date.now(), version, plans: history.value.history.map((one) => one.plan) });
     } catch {
       // The controller is away: nothing was read, and nothing is written down.
     }
@@ -57,23 +57,23 @@
 
   async #confirm({ id: plan, base }: { readonly id: string; readonly base: number }, next: unknown): Promise<number | undefined> {
     const allowed = v.parse(Allowed, next);
-    const { services, branches, bounds } = allowed;
+    const { services, branches: quotas, bounds } = allowed;
     this.#note({
-      t: 'planned',
+      type: 'planned',
       atMs: Date.now(),
       plan,
       base,
       services: Object.keys(services),
-      branches: Object.keys(branches),
+      quotas: Object.keys(quotas),
       maxItems: bounds.maxItems ?? 1000,
     });
-    const back = await this.#fleet.controller('POST', `/v1/plans/${plan}/confirm`, { acknowledged: true }).catch(() => undefined);
-    const outcome = check(views.outcome, back?.body);
-    if (back === undefined || !outcome.ok) return undefined;
+    const response = await this.#fleet.controller('POST', `/v1/plans/${plan}/confirm`, { acknowledged: true }).catch(() => undefined);
+    const outcome = check(views.outcome, response?.body);
+    if (response === undefined || !outcome.ok) return undefined;
     const { version } = outcome.value;
-    if (back.status === 200 || back.status === 504)
-      this.#note({ t: 'confirmed', atMs: Date.now(), plan, version, inForce: back.status === 200 });
-    if (back.status === 409) this.#note({ t: 'rejected', atMs: Date.now(), plan });
-    return back.status === 200 ? version : undefined;
+    if (response.status === 200 || response.status === 504)
+      this.#note({ type: 'confirmed', atMs: Date.now(), plan, version, inForce: response.status === 200 });
+    if (response.status === 409) this.#note({ type: 'rejected', atMs: Date.now(), plan });
+    return response.status === 200 ? version : undefined;
   }
 }
--- a/testing/simulator/src/real/operatorFaults.ts
+++ b/testing/simulator/src/real/operatorFaults.ts
@@ -5,7 +5,7 @@
 import { until } from './until.js';
 
 async function change({ operator }: Ground, part: Record<string, unknown>): Promise<number> {
-  for (let tries = 0; tries < 10; tries += 1) {
+  for (let attempts = 0; attempts < 10; attempts += 1) {
     const version = await operator.change(part).catch(() => undefined);
     if (version !== undefined) return version;
     await pass(1000);
@@ -68,7 +68,7 @@
     let won = 0;
     for (let round = 0; round < 3; round += 1) {
       const versions = await Promise.all(
-        [0, 1].map((side) => operator.change({ bounds: { requeueTries: 300 + round * 2 + side } }).catch(() => undefined)),
+        [0, 1].map((side) => operator.change({ bounds: { requeueAttempts: 300 + round * 2 + side } }).catch(() => undefined)),
       );
       won += versions.filter((version) => version !== undefined).length;
     }
@@ -78,39 +78,40 @@
   /** A service and a branch that callers use are pruned for a while. */
   prune: async (ground) => {
     const { operator, traffic, took } = ground;
-    const service = traffic.find((one) => one.lotItems === undefined && one.perSecond < 20)?.service ?? '';
-    const branch = traffic[0]?.branches.at(-1) ?? '';
-    const { services, branches } = await operator.setup();
-    const version = await change(ground, { services: { [service]: null }, branches: { [branch]: null } });
+    const service = traffic.find((one) => one.batchItems === undefined && one.perSecond < 20)?.service ?? '';
+    const quota = traffic[0]?.quotas.at(-1) ?? '';
+    const { services, branches: quotas } = await operator.configuration();
+    const version = await change(ground, { services: { [service]: null }, quotas: { [quota]: null } });
     await pass(6000);
-    took(`${service}, ${branch}`, `pruned under version ${version}`);
-    await change(ground, { services: { [service]: rowOf(services, service) }, branches: { [branch]: rowOf(branches, branch) } });
+    took(`${service}, ${quota}`, `pruned under version ${version}`);
+    await change(ground, { services: { [service]: rowOf(services, service) }, quotas: { [quota]: rowOf(quotas, quota) } });
     await pass(2000);
   },
 
   /** Changes in quick succession while the setup's leader is killed. */
-  setupBurst: async (ground) => {
+  configurationBurst: async (ground) => {
     const { fleet, took } = ground;
     const owner = await aim.owner(fleet, 'setup');
     let confirmed = 0;
     for (let number = 0; number < 8; number += 1) {
       if (number === 3) aim.daemons(fleet, owner)[0]?.signal('SIGKILL');
-      confirmed += (await ground.operator.change({ bounds: { requeueTries: 400 + number } }).catch(() => undefined)) === undefined ? 0 : 1;
+      confirmed +=
+        (await ground.operator.change({ bounds: { requeueAttempts: 400 + number } }).catch(() => undefined)) === undefined ? 0 : 1;
     }
     aim.daemons(fleet, owner)[0]?.start();
     if (confirmed > 0) took(`the setup, and ${owner} killed`, `${confirmed} of 8 changes were confirmed`);
   },
 
   /** Thousands of branches and services, confirmed and pruned again, with a front killed meanwhile. */
-  largeSetup: async (ground) => {
+  largeConfiguration: async (ground) => {
     const { fleet, operator, random, took } = ground;
-    const { services } = await operator.setup();
+    const { services } = await operator.configuration();
     const like = rowOf(services, ground.traffic[0]?.service ?? '');
     const many = <T>(row: (number: number) => T): Record<string, T> =>
       Object.fromEntries(Array.from({ length: 1500 }, (_, number) => [`extra-${number}`, row(number)]));
-    const parent = ground.traffic[0]?.branches[0] ?? '';
+    const parent = ground.traffic[0]?.quotas[0] ?? '';
     const startMs = Date.now();
-    const confirming = change(ground, { services: many(() => like), branches: many(() => ({ parent, share: 0.0001 })) });
+    const confirming = change(ground, { services: many(() => like), quotas: many(() => ({ parent, share: 0.0001 })) });
     const name = aim.pick(aim.names(fleet, 'front'), random);
     const daemons = aim.daemons(fleet, name);
     for (const daemon of daemons) daemon.signal('SIGKILL');
@@ -121,9 +122,9 @@
     took(`the setup, and ${name} killed`, `3,000 rows in force under version ${version} after ${Date.now() - startMs} ms`);
     await fleet.ready(20_000);
     const smallMs = Date.now();
-    await change(ground, { bounds: { requeueTries: 450 } });
+    await change(ground, { bounds: { requeueAttempts: 450 } });
     took('the large setup', `one bound changed in ${Date.now() - smallMs} ms`);
-    await change(ground, { services: many(() => null), branches: many(() => null) });
+    await change(ground, { services: many(() => null), quotas: many(() => null) });
   },
 };
 
--- a/testing/simulator/src/real/processFaults.ts
+++ b/testing/simulator/src/real/processFaults.ts
@@ -29,13 +29,13 @@
   killController: (ground) => kill(ground, aim.pick(aim.names(ground.fleet, 'controller'), ground.random), 3000),
   killStore: (ground) => kill(ground, aim.pick(aim.names(ground.fleet, 'store'), ground.random), 3000),
   killDispatcher: async (ground) => kill(ground, await aim.holder(ground.fleet), 5000),
-  killSetupOwner: async (ground) => kill(ground, await aim.owner(ground.fleet, 'setup'), 5000),
-  killLotOwner: async (ground) => kill(ground, await aim.owner(ground.fleet, 'lots-0'), 5000),
+  killConfigurationLeader: async (ground) => kill(ground, await aim.owner(ground.fleet, 'setup'), 5000),
+  killBatchLeader: async (ground) => kill(ground, await aim.owner(ground.fleet, 'lots-0'), 5000),
   freezeFront: (ground) => freeze(ground, aim.pick(aim.names(ground.fleet, 'front'), ground.random), 6000),
   freezeDispatcher: async (ground) => freeze(ground, await aim.holder(ground.fleet), 6000),
-  freezeSetupOwner: async (ground) => freeze(ground, await aim.owner(ground.fleet, 'setup'), 6000),
+  freezeConfigurationLeader: async (ground) => freeze(ground, await aim.owner(ground.fleet, 'setup'), 6000),
   freezeStore: (ground) => freeze(ground, aim.pick(aim.names(ground.fleet, 'store'), ground.random), 6000),
-  freezeLotOwner: async (ground) => freeze(ground, await aim.owner(ground.fleet, 'lots-1'), 6000),
+  freezeBatchLeader: async (ground) => freeze(ground, await aim.owner(ground.fleet, 'lots-1'), 6000),
 
   /** The disk is lost, and an empty machine comes back under the old name and address. */
   loseDisk: async ({ fleet, random, took }) => {
--- a/testing/simulator/src/real/readDeployment.ts
+++ b/testing/simulator/src/real/readDeployment.ts
@@ -1,13 +1,14 @@
 import { readFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import * as v from 'valibot';
-import { Boot, check, FindingsError } from '@pewterlanding/runtime';
+import { check, FindingsError } from '@pewterlanding/model';
+import { BootSettings } from '@pewterlanding/runtime';
 import { Deployment } from './deployment.js';
 
 interface Read {
   readonly deployment: Deployment;
-  readonly boots: ReadonlyMap<string, Boot>;
-  readonly setup: Readonly<Record<string, unknown>>;
+  readonly boots: ReadonlyMap<string, BootSettings>;
+  readonly configuration: Readonly<Record<string, unknown>>;
 }
 
 interface ReadOptions {
@@ -17,7 +18,7 @@
   readonly links?: boolean;
 }
 
-const wirePort = ':7000';
+const transportPort = ':7000';
 const relayPort = ':17000';
 
 /** Reads a deployment's folder. */
@@ -31,23 +32,23 @@
     return value.value;
   };
   const deployment = await read('fleet.json', Deployment);
-  const boots = new Map<string, Boot>();
-  for (const { program, boot: key } of deployment.processes) {
-    const boot = await read(join('boots', `${key}.json`), Boot);
-    if (!links) boots.set(key, boot);
+  const boots = new Map<string, BootSettings>();
+  for (const { program, bootSettings: key } of deployment.processes) {
+    const bootSettings = await read(join('boots', `${key}.json`), BootSettings);
+    if (!links) boots.set(key, bootSettings);
     else {
-      const seeds = boot.seeds.map(relayed);
+      const seeds = bootSettings.seeds.map(relayed);
       // Nobody dials a proxy but the agent beside it.
-      boots.set(key, { ...boot, seeds, ...(program === 'proxy' ? {} : { advertise: relayed(boot.listen) }) });
+      boots.set(key, { ...bootSettings, seeds, ...(program === 'proxy' ? {} : { advertise: relayed(bootSettings.listen) }) });
     }
   }
   // The setup names no other address on the wire's port than those of controllers and stores.
-  const setup = await read('setup.json', v.record(v.string(), v.unknown()), (text) =>
-    links ? text.replaceAll(`${wirePort}"`, `${relayPort}"`) : text,
+  const configuration = await read('setup.json', v.record(v.string(), v.unknown()), (text) =>
+    links ? text.replaceAll(`${transportPort}"`, `${relayPort}"`) : text,
   );
-  return { deployment, boots, setup };
+  return { deployment, boots, configuration };
 }
 
-function relayed(address: Boot['listen']): Boot['listen'] {
-  return v.parse(Boot.entries.listen, address.replace(wirePort, relayPort));
+function relayed(address: BootSettings['listen']): BootSettings['listen'] {
+  return v.parse(BootSettings.entries.listen, address.replace(transportPort, relayPort));
 }
--- a/testing/simulator/src/real/replicaFaults.ts
+++ b/testing/simulator/src/real/replicaFaults.ts
@@ -9,9 +9,9 @@
     replica.vanish();
     took(replica.address, 'its server closed and all circuits broke off');
     await pass(6000);
-    note({ t: 'replicaEnds', atMs: Date.now(), replica: replica.address });
+    note({ type: 'replicaEnds', atMs: Date.now(), replica: replica.address });
     await pass(2000);
-    note({ t: 'replicaBegins', atMs: Date.now(), replica: replica.address });
+    note({ type: 'replicaBegins', atMs: Date.now(), replica: replica.address });
     await replica.start();
   },
   /** It takes tasks and never returns, and says nothing any more; then it is itself again. */
@@ -27,11 +27,11 @@
   },
   replicasRoll: async ({ fleet, note, took }) => {
     for (const replica of fleet.replicas.slice(0, 4)) {
-      if (await replica.leave()) note({ t: 'replicaEnds', atMs: Date.now(), replica: replica.address });
+      if (await replica.leave()) note({ type: 'replicaEnds', atMs: Date.now(), replica: replica.address });
       took(replica.address, 'its leaving was taken');
       await pass(3000);
       replica.vanish();
-      note({ t: 'replicaBegins', atMs: Date.now(), replica: replica.address });
+      note({ type: 'replicaBegins', atMs: Date.now(), replica: replica.address });
       await replica.start();
     }
   },
--- a/testing/simulator/src/real/waitingShares.ts
+++ b/testing/simulator/src/real/waitingShares.ts
@@ -1,14 +1,14 @@
-import { check, entriesOf, Setup } from '@pewterlanding/runtime';
-import { BranchTree, fleetCeiling, shareOf } from '@pewterlanding/rate-limit';
+import { check, entriesOf, Configuration } from '@pewterlanding/model';
+import { QuotaTree, fleetCeiling, shareOf } from '@pewterlanding/rate-limit';
 import type { Deployment } from './deployment.js';
 
 /** The shares a minute of the branches that hand in lots. */
-export function waitingShares(setup: unknown, traffic: Deployment['traffic']) {
-  const read = check(Setup, setup);
+export function waitingShares(configuration: unknown, traffic: Deployment['traffic']) {
+  const read = check(Configuration, configuration);
   if (!read.ok) throw new Error('the setup cannot be read');
-  const { branches } = read.value;
+  const { quotas } = read.value;
   const ceiling = fleetCeiling(read.value, new Map());
-  const tree = new BranchTree(new Map(entriesOf(branches)));
-  const named = new Set(traffic.flatMap((one) => (one.lotItems === undefined ? [] : one.branches)));
+  const tree = new QuotaTree(new Map(entriesOf(quotas)));
+  const named = new Set(traffic.flatMap((one) => (one.batchItems === undefined ? [] : one.quotas)));
   return new Map(tree.names().flatMap((name) => (named.has(name) ? [[name, shareOf(ceiling, tree.ownShare(name))] as const] : [])));
 }
--- a/testing/simulator/src/scale.ts
+++ b/testing/simulator/src/scale.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
-import { chooseItems } from '@pewterlanding/controller';
-import { BranchName, LotId, ServiceName } from '@pewterlanding/runtime';
-import { BranchTree, Counter } from '@pewterlanding/rate-limit';
+import { selectItems } from '@pewterlanding/controller';
+import { QuotaName, BatchId, ServiceName } from '@pewterlanding/model';
+import { QuotaTree, Counter } from '@pewterlanding/rate-limit';
 import { SimRun } from './sim/simRun.js';
 
 const spanMs = 10_000;
@@ -16,24 +16,24 @@
     await run.pass(spanMs);
     const after = counts(run);
     const nodes = fronts + 6;
-    const keys = ['messages', 'bytes', 'beats', 'news', 'compared'] as const;
+    const keys = ['messages', 'bytes', 'heartbeats', 'update', 'compared'] as const;
     const each = (key: keyof typeof after): string => ((((after[key] - before[key]) / spanMs) * 1000) / nodes).toFixed(1);
     say(`${fronts} fronts: ${keys.map((key) => `${each(key)} ${key}`).join(', ')}`);
   }
   say('by branches and waiting items: accounts that one tick looks at');
-  for (const [branches, items] of [
+  for (const [quotas, items] of [
     [10, 200],
     [100, 200],
     [1000, 200],
     [3000, 200],
     [1000, 2000],
   ] as const) {
-    const { looks, chosen } = tickLooks(branches, items);
-    say(`${branches} branches, ${items} items: ${looks} looks, ${chosen} items claimed`);
+    const { looks, chosen } = tickLooks(quotas, items);
+    say(`${quotas} branches, ${items} items: ${looks} looks, ${chosen} items claimed`);
   }
   say('by waiting items, budget-limited: bytes a second in all');
-  for (const itemsPerLot of [10, 100, 500]) {
-    const run = new SimRun({ seed, tasks: 1, lots: 1, itemsPerLot, requestsPerMinute: 600 });
+  for (const itemsPerBatch of [10, 100, 500]) {
+    const run = new SimRun({ seed, tasks: 1, batches: 1, itemsPerBatch, requestsPerMinute: 600 });
     await run.begin();
     // Let it lie: no more lots, no readers, only what waits.
     run.traffic.stop();
@@ -42,49 +42,58 @@
     await run.pass(spanMs);
     const after = counts(run);
     const rate = (key: 'bytes' | 'messages'): number => Math.round(((after[key] - before[key]) / spanMs) * 1000);
-    say(`${itemsPerLot * 10} items: ${rate('bytes')} bytes, ${rate('messages')} messages`);
+    say(`${itemsPerBatch * 10} items: ${rate('bytes')} bytes, ${rate('messages')} messages`);
   }
 }
 
 /** How many accounts one tick of the dispatcher looks at, with work waiting in every tenth branch. */
-function tickLooks(branches: number, items: number): { readonly looks: number; readonly chosen: number } {
-  const names = Array.from({ length: branches }, (_, place) => v.parse(BranchName, `b${place}`));
-  const tree = new BranchTree(new Map(names.map((name) => [name, { share: 1 / branches, lends: true }])));
-  const ceiling = { requests: branches * 600, tokens: branches * 600_000 };
+function tickLooks(quotas: number, items: number): { readonly looks: number; readonly chosen: number } {
+  const names = Array.from({ length: quotas }, (_, position) => v.parse(QuotaName, `b${position}`));
+  const tree = new QuotaTree(new Map(names.map((name) => [name, { share: 1 / quotas, lends: true }])));
+  const ceiling = { requests: quotas * 600, tokens: quotas * 600_000 };
   const rules = { ceiling, tree, waitingRatio: 0.05, liveRatio: 0.5, fallbackRatio: 0.5, fronts: 1, frontSilenceMs: 1000 };
   const counter = new Counter(rules, 0);
-  const waiting = names.filter((_, place) => place % 10 === 0);
+  const waiting = names.filter((_, position) => position % 10 === 0);
   const nowMs = 10_000;
   counter.heard('f', nowMs);
   counter.watch(nowMs);
   const before = counter.looks;
   counter.tick(new Set(waiting), nowMs);
-  const lot = v.parse(LotId, 'lot_x');
+  const batch = v.parse(BatchId, 'lot_x');
   const service = v.parse(ServiceName, 's');
-  const chosen = chooseItems({
-    items: Array.from({ length: items }, (_, place) => {
-      const branch = waiting[place % waiting.length] ?? v.parse(BranchName, 'b0');
-      return { ref: { lot, place }, branch, service, tokens: 100, queuedAtMs: place, dueAtMs: place, tries: 0, shard: 'lots-0' };
+  const chosen = selectItems({
+    items: Array.from({ length: items }, (_, position) => {
+      const quota = waiting[position % waiting.length] ?? v.parse(QuotaName, 'b0');
+      return {
+        ref: { batch, position },
+        quota,
+        service,
+        tokens: 100,
+        queuedAtMs: position,
+        dueAtMs: position,
+        attempts: 0,
+        shard: 'lots-0',
+      };
     }),
     out: new Map(),
-    share: (branch) => counter.shareOf(branch),
+    share: (quota) => counter.shareOf(quota),
     poolOf: (one) => one,
     roomOf: () => items,
-    capacity: (branch, tokens) => counter.capacity(branch, { requests: 1, tokens }, nowMs),
+    capacity: (quota, tokens) => counter.capacity(quota, { requests: 1, tokens }, nowMs),
     gap: items,
   });
-  for (const item of chosen) counter.reserve(`${item.ref.place}`, item.branch, { requests: 1, tokens: item.tokens }, nowMs);
+  for (const item of chosen) counter.reserve(`${item.ref.position}`, item.quota, { requests: 1, tokens: item.tokens }, nowMs);
   return { looks: counter.looks - before, chosen: chosen.length };
 }
 
 function counts(run: SimRun) {
-  let beats = 0;
-  let news = 0;
+  let heartbeats = 0;
+  let update = 0;
   let compared = 0;
   for (const host of run.fleet.hosts.values()) {
-    beats += host.process?.counters.get('membership.beatsSent') ?? 0;
-    news += host.process?.counters.get('membership.newsSent') ?? 0;
+    heartbeats += host.process?.counters.get('membership.beatsSent') ?? 0;
+    update += host.process?.counters.get('membership.newsSent') ?? 0;
     compared += host.process?.counters.get('membership.compared') ?? 0;
   }
-  return { messages: run.fleet.net.messages, bytes: run.fleet.net.bytes, beats, news, compared };
+  return { messages: run.fleet.net.messages, bytes: run.fleet.net.bytes, heartbeats, update, compared };
 }
--- a/testing/simulator/src/sim/campaign.ts
+++ b/testing/simulator/src/sim/campaign.ts
@@ -38,9 +38,9 @@
     try {
       const day = await simDay({ seed, deployment });
       played = day.faults;
-      for (const { rule, judged, complaints } of day.verdicts) rules.add(rule, judged, complaints.length);
+      for (const { rule, judged, violations } of day.verdicts) rules.add(rule, judged, violations.length);
       if (day.unfinished > 0) wrongs.push(`${day.unfinished} lots did not come to an end`);
-      wrongs.push(...day.complaints.slice(0, 5).map(({ atMs, rule, what }) => `${Math.round(atMs)} ${rule}: ${what}`));
+      wrongs.push(...day.violations.slice(0, 5).map(({ atMs, rule, what }) => `${Math.round(atMs)} ${rule}: ${what}`));
     } catch (error) {
       wrongs.push(errorLine(error));
     }
--- a/testing/simulator/src/sim/disruption.ts
+++ b/testing/simulator/src/sim/disruption.ts
@@ -4,9 +4,9 @@
 import type { SimRun } from './simRun.js';
 
 /** No change takes longer than an operator's word may, twice: to plan and to confirm. */
-const mostChangeMs = 30_000;
-const mostTries = 10;
-const betweenTriesMs = 500;
+const maxChangeMs = 30_000;
+const maxAttempts = 10;
+const betweenAttemptsMs = 500;
 const cutModes: readonly CutMode[] = ['silent', 'refused', 'reset'];
 
 /** What faults are made of. Each act ends by itself after the time that it is given. */
@@ -44,7 +44,7 @@
 
   /** The replicas that serve now. */
   replicas(): readonly SimReplica[] {
-    return [...this.run.fleet.replicas.values()].filter((replica) => !replica.life.dead);
+    return [...this.run.fleet.replicas.values()].filter((replica) => !replica.instance.dead);
   }
 
   replicasOf(service: string): readonly SimReplica[] {
@@ -53,8 +53,8 @@
 
   /** A replica ends in the middle of what it does, and is back a moment later. */
   breakOff(replica: SimReplica, backMs: number): void {
-    if (replica.life.dead) return;
-    replica.life.end();
+    if (replica.instance.dead) return;
+    replica.instance.end();
     this.back(replica, backMs);
   }
 
@@ -152,21 +152,22 @@
 
   /** The fleet knows of the end of this life after a while. */
   ends(replica: SimReplica, afterMs: number): void {
-    const { life } = replica;
+    const { instance } = replica;
     this.run.later(afterMs, () => {
-      if (replica.life === life) this.run.fleet.note({ t: 'replicaEnds', atMs: this.run.fleet.time.nowMs, replica: replica.address });
+      if (replica.instance === instance)
+        this.run.fleet.note({ type: 'replicaEnds', atMs: this.run.fleet.time.nowMs, replica: replica.address });
     });
   }
 
   back(replica: SimReplica, afterMs: number): void {
     this.run.later(afterMs, () => {
-      if (replica.life.dead) this.run.fleet.startReplica(replica, () => this.run.traffic.front().proxy);
+      if (replica.instance.dead) this.run.fleet.startReplica(replica, () => this.run.traffic.front().proxy);
     });
   }
 
   /** It falls over, and its silence is what tells. */
   crash(replica: SimReplica, backMs: number): void {
-    replica.life.end();
+    replica.instance.end();
     this.ends(replica, 6000);
     this.back(replica, backMs);
   }
@@ -179,9 +180,9 @@
       replica.announcing = true;
       return;
     }
-    const { life } = replica;
+    const { instance } = replica;
     this.ends(replica, 0);
-    this.run.later(noticeMs, () => life.end());
+    this.run.later(noticeMs, () => instance.end());
     this.back(replica, backMs);
   }
 
@@ -237,12 +238,13 @@
   async changeForAWhile(part: Record<string, unknown>, back: Record<string, unknown>, forMs: number): Promise<void> {
     await this.#outcomeOf(part);
     await this.#wait(forMs);
-    for (let tries = 0; tries < mostTries && (await this.#outcomeOf(back)) !== 'confirmed'; tries += 1) await this.#wait(betweenTriesMs);
+    for (let attempts = 0; attempts < maxAttempts && (await this.#outcomeOf(back)) !== 'confirmed'; attempts += 1)
+      await this.#wait(betweenAttemptsMs);
   }
 
   /** What became of a change; whoever was asked may be gone before saying so. */
   #outcomeOf(part: Record<string, unknown>): Promise<string> {
-    return Promise.race([this.run.operate({ part }), this.#wait(mostChangeMs).then(() => 'unknown')]);
+    return Promise.race([this.run.operate({ part }), this.#wait(maxChangeMs).then(() => 'unknown')]);
   }
 
   #wait(waitMs: number): Promise<void> {
--- a/testing/simulator/src/sim/expectDay.ts
+++ b/testing/simulator/src/sim/expectDay.ts
@@ -16,7 +16,7 @@
   const unjudged = day.verdicts.filter(({ rule, judged }) => judged === 0 && !sometimes.has(rule));
   if (unjudged.length > 0) throw new Error(`seed ${seed}: not judged: ${unjudged.map(({ rule }) => rule).join('; ')}`);
   if (day.unfinished > 0) throw new Error(`seed ${seed}, faults ${day.faults.join(',')}: ${day.unfinished} lots never came to an end`);
-  if (day.complaints.length === 0) return;
-  const lines = day.complaints.slice(0, 10).map((complaint) => `${Math.round(complaint.atMs)} ${complaint.rule}: ${complaint.what}`);
-  throw new Error(`seed ${seed}, faults ${day.faults.join(',')}: ${day.complaints.length} complaints\n${lines.join('\n')}`);
+  if (day.violations.length === 0) return;
+  const lines = day.violations.slice(0, 10).map((violation) => `${Math.round(violation.atMs)} ${violation.rule}: ${violation.what}`);
+  throw new Error(`seed ${seed}, faults ${day.faults.join(',')}: ${day.violations.length} complaints\n${lines.join('\n')}`);
 }
--- a/testing/simulator/src/sim/faults/cutFaults.ts
+++ b/testing/simulator/src/sim/faults/cutFaults.ts
@@ -44,7 +44,7 @@
   /** The machine that leads the configuration, cut from the others that hold copies. */
   leaderCut: {
     act: (d) => {
-      const name = d.run.setupLeader();
+      const name = d.run.configurationLeader();
       const forMs = d.span(4000, 20_000);
       if (!d.lose([name], forMs)) return false;
       d.cut([name], d.keepers(), forMs, d.cutMode());
--- a/testing/simulator/src/sim/faults/operatorFaults.ts
+++ b/testing/simulator/src/sim/faults/operatorFaults.ts
@@ -8,8 +8,11 @@
   /** Two operators at once, each at a controller machine of its own. */
   operatorsRace: {
     act: (d) => {
-      for (const [place, controller] of d.run.machines('controller').slice(0, 2).entries())
-        void d.run.operate({ part: { bounds: { lotCap: 100 + Math.floor(d.run.fleet.random() * 50) + place } } }, controller);
+      for (const [position, controller] of d.run.machines('controller').slice(0, 2).entries())
+        void d.run.operate(
+          { part: { bounds: { batchConcurrencyLimit: 100 + Math.floor(d.run.fleet.random() * 50) + position } } },
+          controller,
+        );
       return true;
     },
   },
@@ -41,24 +44,24 @@
       return true;
     },
   },
-  setupBurst: {
+  configurationBurst: {
     act: (d) => {
       for (let change = 0; change < 5; change += 1)
-        d.run.later(change * 300, () => void d.run.operate({ part: { bounds: { requeueTries: 400 + change } } }));
+        d.run.later(change * 300, () => void d.run.operate({ part: { bounds: { requeueAttempts: 400 + change } } }));
       return true;
     },
   },
-  readSetup: {
+  readConfiguration: {
     act: (d) => {
-      void d.run.readSetup();
+      void d.run.readConfiguration();
       return true;
     },
   },
   /** A service and a branch that callers use are pruned, and planted again a while later. */
   prune: {
     act: (d) => {
-      const planted = { services: { memo: simService('whole', true, d.run.hosts) }, branches: { guest: { share: 0.05, lends: false } } };
-      void d.changeForAWhile({ services: { memo: null }, branches: { guest: null } }, planted, d.span(4000, 9000));
+      const planted = { services: { memo: simService('whole', true, d.run.hosts) }, quotas: { guest: { share: 0.05, lends: false } } };
+      void d.changeForAWhile({ services: { memo: null }, quotas: { guest: null } }, planted, d.span(4000, 9000));
       return true;
     },
   },
--- a/testing/simulator/src/sim/faults/powerFaults.ts
+++ b/testing/simulator/src/sim/faults/powerFaults.ts
@@ -31,7 +31,7 @@
   /** A controller loses its power while it writes one change after another. */
   powerOffWhileWriting: {
     act: (d) => {
-      const name = d.run.setupLeader();
+      const name = d.run.configurationLeader();
       const offMs = d.span(500, 4000);
       if (!d.lose([name], offMs)) return false;
       for (let change = 0; change < 8; change += 1) d.run.later(change * 40, () => void d.run.operators.order());
@@ -42,7 +42,7 @@
   /** The machine that acknowledged a change, and the one that leads, lose their power as the acknowledgement is on its way. */
   powerOffAfterAck: {
     act: (d) => {
-      const name = d.run.setupLeader();
+      const name = d.run.configurationLeader();
       const offMs = d.span(500, 4000);
       if (!d.lose([name], offMs)) return false;
       void d.run.operators.order({ at: name }).then(() => d.powerOff(name, offMs));
@@ -52,7 +52,7 @@
   /** As before, and it comes back with an empty disk while all others lose their power too. */
   wipedAfterAck: {
     act: (d) => {
-      const name = d.run.setupLeader();
+      const name = d.run.configurationLeader();
       if (!d.loseAll(backMs)) return false;
       void d.run.operators.order({ at: name }).then(() => {
         const others = d.keepers().filter((other) => other !== name && d.chance(0.5));
--- a/testing/simulator/src/sim/faults/processFaults.ts
+++ b/testing/simulator/src/sim/faults/processFaults.ts
@@ -40,7 +40,7 @@
   },
   killStore: { act: (d) => kill(d, d.run.pick(d.run.machines('store'))) },
   killController: { act: (d) => kill(d, d.run.pick(d.run.machines('controller'))) },
-  killSetupOwner: { act: (d) => kill(d, d.run.setupLeader()) },
+  killConfigurationLeader: { act: (d) => kill(d, d.run.configurationLeader()) },
   killDispatcher: { act: (d) => kill(d, d.run.dispatcher()) },
   freezeFront: {
     act: (d) => {
@@ -49,7 +49,7 @@
     },
   },
   freezeStore: { act: (d) => freeze(d, d.run.pick(d.run.machines('store'))) },
-  freezeSetupOwner: { act: (d) => freeze(d, d.run.setupLeader()) },
+  freezeConfigurationLeader: { act: (d) => freeze(d, d.run.configurationLeader()) },
   freezeDispatcher: { act: (d) => freeze(d, d.run.dispatcher()) },
   /** More than half of everything is killed at once. */
   herdKilled: {
@@ -91,8 +91,8 @@
   storesRoll: { act: (d) => roll(d, d.run.machines('store')) },
   frontsRoll: {
     act: (d) => {
-      d.run.machines('front').forEach((name, place) =>
-        d.run.later(place * 700, () => {
+      d.run.machines('front').forEach((name, position) =>
+        d.run.later(position * 700, () => {
           d.run.leave(name);
           d.run.restart(name, 2000);
         }),
@@ -103,7 +103,7 @@
   /** The machine that leads the configuration is killed again and again. */
   leaderKilledAgain: {
     act: (d) => {
-      const name = d.run.setupLeader();
+      const name = d.run.configurationLeader();
       const times = 3;
       const everyMs = 1500;
       if (!d.lose([name], everyMs * times)) return false;
--- a/testing/simulator/src/sim/faults/replicaFaults.ts
+++ b/testing/simulator/src/sim/faults/replicaFaults.ts
@@ -61,7 +61,7 @@
     act: (d) => {
       d.replicas()
         .slice(0, 4)
-        .forEach((replica, place) => d.run.later(place * 1200, () => d.leave(replica, 3500, 4000)));
+        .forEach((replica, position) => d.run.later(position * 1200, () => d.leave(replica, 3500, 4000)));
       return true;
     },
   },
@@ -82,7 +82,7 @@
   replicasScaleOut: {
     act: (d) => {
       const places = d.some(d.replicas(), 0.3);
-      places.forEach((like, place) => d.run.later(place * 300, () => d.addReplica(like)));
+      places.forEach((like, position) => d.run.later(position * 300, () => d.addReplica(like)));
       return true;
     },
   },
@@ -110,7 +110,7 @@
       const replica = d.run.pick(d.replicas());
       for (let time = 0; time < 5; time += 1)
         d.run.later(time * 1200, () => {
-          if (!replica.life.dead) d.crash(replica, 500);
+          if (!replica.instance.dead) d.crash(replica, 500);
         });
       return true;
     },
--- a/testing/simulator/src/sim/life.ts
+++ b/testing/simulator/src/sim/instance.ts
@@ -1,5 +1,5 @@
 /** One life of a process. What belongs to a dead one does nothing any more. */
-export class Life {
+export class Instance {
   #dead = false;
   readonly #ends: (() => void)[] = [];
 
--- a/testing/simulator/src/sim/nextAccepted.ts
+++ b/testing/simulator/src/sim/nextAccepted.ts
@@ -5,7 +5,7 @@
 /** Waits until the next lot of so many items is accepted, and says of which shard it is. */
 export async function nextAccepted(run: SimRun, items = 1): Promise<string> {
   const { history } = run.fleet;
-  const long = (): string[] => history.flatMap((one) => (one.t === 'lotAccepted' && one.items.length >= items ? [one.lot] : []));
+  const long = (): string[] => history.flatMap((one) => (one.type === 'batchAccepted' && one.items.length >= items ? [one.batch] : []));
   const before = long().length;
   for (let waitedMs = 0; waitedMs < patienceMs; waitedMs += 1) {
     await run.pass(1);
--- a/testing/simulator/src/sim/partialPartitionScenarios.ts
+++ b/testing/simulator/src/sim/partialPartitionScenarios.ts
@@ -13,9 +13,9 @@
 
 const cutMs = 20_000;
 const roundMs = 2500;
-const mostMoves = 3;
+const maxMoves = 3;
 
-const options = { lots: 2, itemsPerLot: 5, tasks: 30 } as const;
+const options = { batches: 2, itemsPerBatch: 5, tasks: 30 } as const;
 const leaseOnly = { options, takeoverMs: cutMs, itemStartMs: leaseBoundMs + backlogMs } as const;
 const leaseAfterElection = { options, takeoverMs: cutMs, itemStartMs: leaseBoundMs + failoverBoundMs + backlogMs } as const;
 
@@ -23,9 +23,12 @@
 async function raceOperators(run: SimRun, cutOff: string): Promise<void> {
   const [other = cutOff] = run.machines('controller').filter((name) => name !== cutOff);
   for (let round = 0; round < cutMs / roundMs; round += 1) {
-    for (const [place, at] of [cutOff, other].entries())
-      void run.operate({ part: { bounds: { lotCap: 100 + round * 2 + place } } }, run.machines('controller').includes(at) ? at : undefined);
-    for (const at of run.machines('controller')) void run.readSetup(at);
+    for (const [position, at] of [cutOff, other].entries())
+      void run.operate(
+        { part: { bounds: { batchConcurrencyLimit: 100 + round * 2 + position } } },
+        run.machines('controller').includes(at) ? at : undefined,
+      );
+    for (const at of run.machines('controller')) void run.readConfiguration(at);
     await run.pass(roundMs);
   }
 }
@@ -42,8 +45,8 @@
 
 /** Has the dispatcher's role held on the configuration leader's machine, or on another: it moves when its holder dies. */
 async function arrangeRoles(run: SimRun, together: boolean): Promise<void> {
-  const arranged = (): boolean => (run.dispatcher() === run.setupLeader()) === together;
-  for (let moves = 0; moves < mostMoves && !arranged(); moves += 1) {
+  const arranged = (): boolean => (run.dispatcher() === run.configurationLeader()) === together;
+  for (let moves = 0; moves < maxMoves && !arranged(); moves += 1) {
     const holder = run.dispatcher();
     run.fleet.kill(holder);
     run.restart(holder, failureTimeoutMs * 5);
@@ -59,12 +62,12 @@
 
 async function cutConfigurationLeaderOff(run: SimRun, cut: Cut): Promise<void> {
   await arrangeRoles(run, false);
-  await cutOff(run, run.setupLeader(), cut);
+  await cutOff(run, run.configurationLeader(), cut);
 }
 
 async function cutBothRolesOff(run: SimRun, cut: Cut): Promise<void> {
   await arrangeRoles(run, true);
-  await cutOff(run, run.setupLeader(), cut);
+  await cutOff(run, run.configurationLeader(), cut);
 }
 
 /** One machine is cut off from its peers for a long while, and fronts still reach it. */
@@ -80,7 +83,7 @@
   bothRolesHearNoPeer: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'in' }) },
   bothRolesReachNoPeer: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'out' }) },
   bothRolesRefused: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'both', how: 'refused' }) },
-  lotLeaderCutOff: { ...leaseOnly, act: async (run) => cutOff(run, await run.lotLeader('lots-0'), { lost: 'both' }) },
-  lotLeaderHearsNoPeer: { ...leaseOnly, act: async (run) => cutOff(run, await run.lotLeader('lots-0'), { lost: 'in' }) },
-  lotLeaderReachesNoPeer: { ...leaseOnly, act: async (run) => cutOff(run, await run.lotLeader('lots-0'), { lost: 'out' }) },
+  batchLeaderCutOff: { ...leaseOnly, act: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'both' }) },
+  batchLeaderHearsNoPeer: { ...leaseOnly, act: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'in' }) },
+  batchLeaderReachesNoPeer: { ...leaseOnly, act: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'out' }) },
 };
--- a/testing/simulator/src/sim/scenario.ts
+++ b/testing/simulator/src/sim/scenario.ts
@@ -4,10 +4,10 @@
 export interface Scenario {
   readonly options?: {
     readonly tasks?: number;
-    readonly lots?: number;
-    readonly itemsPerLot?: number;
+    readonly batches?: number;
+    readonly itemsPerBatch?: number;
     readonly requestsPerMinute?: number;
-    readonly freshMs?: number;
+    readonly freshnessMs?: number;
     readonly fronts?: number;
     readonly stores?: number;
     readonly controllers?: number;
--- a/testing/simulator/src/sim/scenarios.ts
+++ b/testing/simulator/src/sim/scenarios.ts
@@ -5,7 +5,7 @@
 import { fleetScenarios } from './scenarios/fleetScenarios.js';
 import { itemScenarios } from './scenarios/itemScenarios.js';
 import { limitScenarios } from './scenarios/limitScenarios.js';
-import { lotScenarios } from './scenarios/lotScenarios.js';
+import { batchScenarios } from './scenarios/batchScenarios.js';
 import { orderScenarios } from './scenarios/orderScenarios.js';
 import { repairScenarios } from './scenarios/repairScenarios.js';
 import { taskScenarios } from './scenarios/taskScenarios.js';
@@ -17,7 +17,7 @@
   ...fleetScenarios,
   ...itemScenarios,
   ...limitScenarios,
-  ...lotScenarios,
+  ...batchScenarios,
   ...orderScenarios,
   ...partialPartitionScenarios,
   ...repairScenarios,
--- a/testing/simulator/src/sim/scenarios/lotScenarios.ts
+++ b/testing/simulator/src/sim/scenarios/batchScenarios.ts
@@ -5,10 +5,10 @@
 const slowSyncMs = 400;
 
 /** Lots whose keepers lose power, die, are cut off, or lose their disks. */
-export const lotScenarios: Readonly<Record<string, Scenario>> = {
+export const batchScenarios: Readonly<Record<string, Scenario>> = {
   /** The stores lose their power right after a lot was accepted. */
   powerAfterAccept: {
-    options: { lots: 4 },
+    options: { batches: 4 },
     act: async (run) => {
       for (const name of run.machines('store')) run.fleet.host(name).disk.syncMs = 250;
       for (let round = 0; round < 5; round += 1) {
@@ -24,11 +24,11 @@
   },
   /** The leader of a lot's shard dies right after the lot was accepted. */
   ownerDiesAfterAccept: {
-    options: { lots: 4 },
+    options: { batches: 4 },
     takeoverMs: 1000,
     act: async (run) => {
       for (let round = 0; round < 5; round += 1) {
-        const leader = await run.lotLeader(await nextAccepted(run));
+        const leader = await run.batchLeader(await nextAccepted(run));
         run.fault(`${leader} dies`);
         run.fleet.kill(leader);
         run.restart(leader, 2500);
@@ -38,10 +38,10 @@
   },
   /** The leader of a shard is cut off from the other stores and the controller, while fronts still ask it. */
   ownerCutOff: {
-    options: { lots: 3, itemsPerLot: 1, fronts: 10 },
+    options: { batches: 3, itemsPerBatch: 1, fronts: 10 },
     act: async (run) => {
       for (let round = 0; round < 4; round += 1) {
-        const leader = await run.lotLeader(await nextAccepted(run));
+        const leader = await run.batchLeader(await nextAccepted(run));
         run.fault(`${leader} is cut off`);
         run.disruption.cutFrom(leader, run.machines('front'));
         await run.pass(6000);
@@ -52,9 +52,9 @@
   },
   /** One store hears nothing while another loses its disk; then the only one that knows all dies. */
   emptyDiskVotes: {
-    options: { lots: 4 },
+    options: { batches: 4 },
     act: async (run) => {
-      const leader = await run.lotLeader(await nextAccepted(run));
+      const leader = await run.batchLeader(await nextAccepted(run));
       const [deaf, empty] = run.machines('store').filter((name) => name !== leader);
       if (deaf === undefined || empty === undefined) throw new Error('three stores are needed');
       run.fault(`${deaf} is cut off`);
@@ -73,9 +73,9 @@
   },
   /** A store whose file is damaged empties it, and loses its power before it is anybody else; then the only one that knows all dies. */
   damagedThenPowerLost: {
-    options: { lots: 4 },
+    options: { batches: 4 },
     act: async (run) => {
-      const leader = await run.lotLeader(await nextAccepted(run));
+      const leader = await run.batchLeader(await nextAccepted(run));
       const [deaf, damaged] = run.machines('store').filter((name) => name !== leader);
       if (deaf === undefined || damaged === undefined) throw new Error('three stores are needed');
       run.fault(`${deaf} is cut off`);
--- a/testing/simulator/src/sim/scenarios/configurationScenarios.ts
+++ b/testing/simulator/src/sim/scenarios/configurationScenarios.ts
@@ -24,7 +24,7 @@
       const { machine } = run.fleet.host(run.pick(run.machines('front')));
       run.fault(`${machine.name} stands still`);
       machine.freeze();
-      const pruned = run.operate({ part: { services: { memo: null }, branches: { guest: null } } });
+      const pruned = run.operate({ part: { services: { memo: null }, quotas: { guest: null } } });
       await run.pass(9000);
       machine.wake();
       await run.until(pruned, 20_000);
@@ -39,7 +39,7 @@
       const dark = run.disruption.replicasOf('memo').slice(0, 2);
       for (const replica of dark) replica.machine.freeze();
       await run.pass(300);
-      const pruned = run.operate({ part: { services: { memo: null }, branches: { guest: null } } });
+      const pruned = run.operate({ part: { services: { memo: null }, quotas: { guest: null } } });
       await run.pass(9000);
       for (const replica of dark) replica.machine.wake();
       await run.until(pruned, 20_000);
@@ -52,14 +52,14 @@
       // On slow disks, what was acknowledged without a sync is still on its way.
       for (const name of run.machines('controller')) run.fleet.host(name).disk.syncMs = 600;
       for (let round = 0; round < 4; round += 1) {
-        await run.until(run.operate({ part: { bounds: { requeueTries: 410 + round } } }), 20_000);
+        await run.until(run.operate({ part: { bounds: { requeueAttempts: 410 + round } } }), 20_000);
         run.fault('the controller loses its power');
         for (const name of run.machines('controller')) {
           run.fleet.kill(name);
           run.restart(name, 500);
         }
         await run.pass(5000);
-        await run.until(run.readSetup(), 20_000);
+        await run.until(run.readConfiguration(), 20_000);
       }
     },
   },
@@ -70,7 +70,7 @@
         run.fault('operators race');
         operatorFaults['operatorsRace']?.act(run.disruption);
         await run.pass(3000);
-        await run.until(run.readSetup(), 20_000);
+        await run.until(run.readConfiguration(), 20_000);
       }
     },
   },
