--- a/packages/consensus/src/shard/shardSet.ts
+++ b/packages/consensus/src/shard/shardSet.ts
@@ -161,7 +161,7 @@
       }
       const wanted = this.#table.shards[shard]?.wanted;
       if (wanted === undefined || wanted.some((place) => place.name === name)) continue;
-      // Only the leader's confirmed word counts: news may lag, and a copy given up is a copy lost.
+      // Only the leader's confirmed word counts: updates may lag, and a copy given up is a copy lost.
       const view = await this.#finder.ask(shard, consensusCalls.view, { shard }, failureTimeoutMs * 2).catch(() => undefined);
       if (view === undefined || view.group.some((groupMember) => groupMember.identity.name === name)) continue;
       // One that was taken for silent may have left the group before its successor counts: until then its copy is worth having.
--- a/tools/test/knownRed.test.mjs
+++ b/tools/test/knownRed.test.mjs
@@ -3,7 +3,9 @@
 import { judgeRun, readKnownRed } from '../knownRed.mjs';
 
 test('a list of red tests is read, and every malformed line is found', () => {
-  const { entries, findings } = readKnownRed('# why\n\na test | a cause | 12\nno cause | | 3\njust a name\na test | again | 13\na | b | c | d\n');
+  const { entries, findings } = readKnownRed(
+    '# why\n\na test | a cause | 12\nno cause | | 3\njust a name\na test | again | 13\na | b | c | d\n',
+  );
   assert.deepEqual(entries, [{ name: 'a test', cause: 'a cause', issue: '12' }]);
   assert.deepEqual(
     findings.map((finding) => finding.slice(0, 7)),
@@ -13,7 +15,11 @@
 
 test('exactly the listed red tests are passed over', () => {
   const entries = [{ name: 'listed', cause: 'a', issue: '1' }];
-  const judged = (...ran) => judgeRun(ran.map(([name, green]) => ({ name, green })), entries).findings.length;
+  const judged = (...ran) =>
+    judgeRun(
+      ran.map(([name, green]) => ({ name, green })),
+      entries,
+    ).findings.length;
   assert.equal(judged(['listed', false], ['other', true]), 0);
   assert.equal(judged(['listed', true]), 1, 'a listed test is green');
   assert.equal(judged(['other', true]), 1, 'a listed test is unknown');
--- a/tools/test/withdrawnWords.test.mjs
+++ b/tools/test/withdrawnWords.test.mjs
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import { withdrawnWordFindings } from '../withdrawnWords.mjs';
+import { withdrawnWordFindings } from '../checks/withdrawnWords.mjs';
 
 test('a withdrawn word is found with its place and its term, in folders that are done', () => {
   const found = withdrawnWordFindings('packages/consensus/src/x.ts', 'const a = 1;\n/** The owner of it. */\n');
