--- a/packages/runtime/test/settings.test.ts
+++ b/packages/runtime/test/settings.test.ts
@@ -30,10 +30,10 @@
 describe('the page of settings', () => {
   for (const [section, schema] of [
     ['Boot', BootSettings],
-    ['Setup', Configuration],
+    ['Configuration', Configuration],
     ['Bounds', Bounds],
     ['Services', Service],
-    ['Branches', QuotaRule],
+    ['Quotas', QuotaRule],
     ['Routes', Route],
     ['Limits', Limits],
   ] as const) {
