--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -23,6 +23,7 @@
 export * from './protocol/replyAsLeader.js';
 export * from './election/leadership.js';
 export * from './log/shardFile.js';
+export * from './log/unsupportedFormatError.js';
 export * from './shard/shardEnvironment.js';
 export * from './shard/shardHost.js';
 export * from './shard/shardSet.js';
--- a/packages/consensus/src/log/entryLog.ts
+++ b/packages/consensus/src/log/entryLog.ts
@@ -1,3 +1,4 @@
+import { CommittedEntryConflictError } from './committedEntryConflictError.js';
 import type { Snapshot } from '../snapshot/snapshot.js';
 import type { Entry } from './entry.js';
 import type { GroupMember } from '../group/groupMember.js';
@@ -58,7 +59,7 @@
       const entry = entries[step];
       const position = index + step + 1;
       if (entry === undefined || position <= this.#snapshot.index || this.termAt(position) === entry.term) continue;
-      if (position <= committed) throw new Error(`a committed record at ${position} would be cut`);
+      if (position <= committed) throw new CommittedEntryConflictError(position);
       this.#entries.length = position - this.#base.index - 1;
       this.#entries.push(...entries.slice(step));
       return position;
--- a/packages/consensus/src/log/shardFile.ts
+++ b/packages/consensus/src/log/shardFile.ts
@@ -1,20 +1,25 @@
 import * as v from 'valibot';
-import { Count } from '@pewterlanding/model';
+import { Count, isFields } from '@pewterlanding/model';
 import type { Journal } from '@pewterlanding/runtime';
 import { Snapshot } from '../snapshot/snapshot.js';
 import { Entry } from './entry.js';
 import { EntryLog } from './entryLog.js';
 import type { GroupMember } from '../group/groupMember.js';
 import { logFileFormat1 } from './logFileFormat1.js';
+import { UnsupportedFormatError } from './unsupportedFormatError.js';
 
+/** The format in which records are written, and the latest that is read. Records of format 1 do not carry the field. */
+const currentFormat = 2;
+
+const common = { format: v.optional(Count), term: Count };
 const LogFileRecord = v.variant('kind', [
-  v.strictObject({ kind: v.literal('vote'), term: Count }),
-  v.strictObject({ kind: v.literal('entries'), term: Count, index: Count, entries: v.array(Entry) }),
-  v.strictObject({ kind: v.literal('snapshot'), term: Count, snapshot: Snapshot }),
-  /** Entries that the snapshot before it holds already, for members that follow by entries. */
+  v.strictObject({ ...common, kind: v.literal('vote') }),
+  v.strictObject({ ...common, kind: v.literal('entries'), index: Count, entries: v.array(Entry) }),
+  v.strictObject({ ...common, kind: v.literal('snapshot'), snapshot: Snapshot }),
+  /** Entries that the snapshot before it covers already, for followers that lag a little and need no snapshot. */
   v.strictObject({
+    ...common,
     kind: v.literal('tail'),
-    term: Count,
     base: v.strictObject({ term: Count, index: Count }),
     entries: v.array(Entry),
   }),
@@ -32,72 +37,84 @@
   readonly damaged: boolean;
 }
 
-/** A shard's file: votes, entries, snapshots and their tails in the order they were made. */
+/**
+ * A shard's file: votes, entries, snapshots and their tails in the order in which they were written. Each record carries the format
+ * it is written in. Reading throws UnsupportedFormatError at a record of a later format than this build's.
+ */
 export class ShardFile {
   readonly #journal: Journal;
-  /** Read before the opening, which takes it. */
-  #ahead: Promise<ReadRecords> | undefined;
+  readonly #shard: string;
+  /** Records read before the file is opened; opening it uses them instead of reading again. */
+  #readAhead: Promise<ReadRecords> | undefined;
 
-  constructor(journal: Journal) {
+  /** `shard` names the file in errors. */
+  constructor(journal: Journal, shard = 'shard') {
     this.#journal = journal;
+    this.#shard = shard;
   }
 
   get lengthBytes(): number {
     return this.#journal.lengthBytes;
   }
 
-  /** The members that the file holds; none where it knows nothing of the shard. What is read for this, the opening need not read again. */
+  /** The members that the file holds; none where it holds no record. `open` uses what was read for this. */
   async group(): Promise<readonly GroupMember[]> {
-    this.#ahead ??= this.#read();
-    const { records, damaged } = await this.#ahead;
+    this.#readAhead ??= this.#read();
+    const { records, damaged } = await this.#readAhead;
     const blank = { index: 0, term: 0, group: [], stateMachine: undefined, deduplication: [] };
     return damaged ? [] : logOf(records, blank).group();
   }
 
-  /** `bootstrap` is what the log stands on until the file says otherwise. */
+  /** Reads the term and the log. `bootstrap` is the snapshot of the log where the file holds none. */
   async open(bootstrap: Snapshot): Promise<ShardFileContents> {
-    const { records, damaged } = await (this.#ahead ?? this.#read());
-    this.#ahead = undefined;
+    const { records, damaged } = await (this.#readAhead ?? this.#read());
+    this.#readAhead = undefined;
     if (damaged) return { currentTerm: 0, log: new EntryLog(bootstrap), damaged: true };
-    // The members of the bootstrap are part of the file, so that a restart needs nobody to repeat them. A snapshot written behind
-    // entries would drop those at the next opening.
-    if (!wasAdded(records) && !records.some(({ kind: t }) => t === 'snapshot') && bootstrap.group.length > 0)
-      await this.#append({ kind: 'snapshot', term: 0, snapshot: bootstrap });
+    // The bootstrap's members become part of the file, so that a restart does not depend on anyone to pass them again. A snapshot
+    // written after entries would drop those entries at the next opening.
+    if (!wasAdded(records) && !records.some(({ kind }) => kind === 'snapshot') && bootstrap.group.length > 0)
+      await this.#append({ format: currentFormat, kind: 'snapshot', term: 0, snapshot: bootstrap });
     const currentTerm = records.reduce((highest, { term }) => Math.max(highest, term), 0);
     return { currentTerm, log: logOf(records, bootstrap), damaged: false };
   }
 
   async vote(term: number): Promise<void> {
-    await this.#append({ kind: 'vote', term });
+    await this.#append({ format: currentFormat, kind: 'vote', term });
   }
 
   async entries(term: number, index: number, entries: readonly Entry[]): Promise<void> {
-    await this.#append({ kind: 'entries', term, index, entries: [...entries] });
+    await this.#append({ format: currentFormat, kind: 'entries', term, index, entries: [...entries] });
   }
 
-  /** Writes the whole file anew from a snapshot, the tail behind it and what stands on it. */
+  /** Replaces the whole file by the log's snapshot, the tail before it and the entries after it. */
   async rewrite(term: number, log: EntryLog): Promise<void> {
-    const records: LogFileRecord[] = [{ kind: 'snapshot', term, snapshot: log.snapshot }];
+    const records: LogFileRecord[] = [{ format: currentFormat, kind: 'snapshot', term, snapshot: log.snapshot }];
     const tail = log.after(log.base.index, log.snapshot.index - log.base.index);
-    if (tail.length > 0) records.push({ kind: 'tail', term, base: log.base, entries: [...tail] });
+    if (tail.length > 0) records.push({ format: currentFormat, kind: 'tail', term, base: log.base, entries: [...tail] });
     const rest = log.after(log.snapshot.index, Number.MAX_SAFE_INTEGER);
-    if (rest.length > 0) records.push({ kind: 'entries', term, index: log.snapshot.index, entries: [...rest] });
+    if (rest.length > 0) records.push({ format: currentFormat, kind: 'entries', term, index: log.snapshot.index, entries: [...rest] });
     await this.#journal.rewrite(records);
   }
 
   async #read(): Promise<ReadRecords> {
     const { records, damaged } = await this.#journal.open();
-    return { records: damaged ? [] : records.map((raw): LogFileRecord => v.parse(LogFileRecord, logFileFormat1(raw))), damaged };
+    return { records: damaged ? [] : records.map((raw) => this.#parse(raw)), damaged };
+  }
+
+  #parse(raw: unknown): LogFileRecord {
+    if (isFields(raw) && typeof raw['format'] === 'number' && raw['format'] > currentFormat)
+      throw new UnsupportedFormatError(this.#shard, raw['format'], currentFormat);
+    return v.parse(LogFileRecord, logFileFormat1(raw));
   }
 
-  async #append(kept: LogFileRecord): Promise<void> {
-    await this.#journal.append(kept);
+  async #append(record: LogFileRecord): Promise<void> {
+    await this.#journal.append(record);
   }
 }
 
-/** A file that holds records but no snapshot is that of a member which was added: it was bootstrapped on no members. */
+/** A file with entries but no snapshot belongs to a member that was added later: it began with an empty group. */
 function wasAdded(records: readonly LogFileRecord[]): boolean {
-  return records.some(({ kind: t }) => t === 'entries') && !records.some(({ kind: t }) => t === 'snapshot');
+  return records.some(({ kind }) => kind === 'entries') && !records.some(({ kind }) => kind === 'snapshot');
 }
 
 function logOf(records: readonly LogFileRecord[], bootstrap: Snapshot): EntryLog {
@@ -105,7 +122,7 @@
   for (const record of records) {
     if (record.kind === 'snapshot') log = new EntryLog(record.snapshot);
     else if (record.kind === 'tail') log.restoreTail(record.base, record.entries);
-    // What a file holds may be cut by what it holds later; commitment is learned anew from the leader.
+    // Later entries may truncate earlier ones; the commit index is not stored and is learned from the leader.
     else if (record.kind === 'entries') log.write(record.index, record.entries, 0);
   }
   return log;
--- a/packages/consensus/src/protocol/notLeaderError.ts
+++ b/packages/consensus/src/protocol/notLeaderError.ts
@@ -1,9 +1,12 @@
 import type { Address } from '@pewterlanding/model';
+import { PewterError } from '@pewterlanding/model';
+
+/** This member does not lead the shard; `leader` is where the leader was last known. The request had no effect and may be sent there. */
+export class NotLeaderError extends PewterError {
+  readonly code = 'PEWTER_NOT_LEADER';
+  readonly retriable = true;
 
-/** This member does not own the shard; perhaps it knows who does. Nothing was done. */
-export class NotLeaderError extends Error {
   constructor(readonly leader: Address | undefined) {
     super(`not the leader${leader === undefined ? '' : `; try ${leader}`}`);
-    this.name = 'NotOwnerError';
   }
 }
--- a/packages/consensus/src/protocol/unknownOutcomeError.ts
+++ b/packages/consensus/src/protocol/unknownOutcomeError.ts
@@ -1,7 +1,7 @@
-/** The command was written here, but whether it will count is not known. Send it again under the same id. */
-export class UnknownOutcomeError extends Error {
-  constructor(message: string) {
-    super(message);
-    this.name = 'UnknownOutcomeError';
-  }
+import { PewterError } from '@pewterlanding/model';
+
+/** Whether the command will be committed is not known: it may be in the log. Retry it under the same id, which has one effect. */
+export class UnknownOutcomeError extends PewterError {
+  readonly code = 'PEWTER_UNKNOWN_OUTCOME';
+  readonly retriable = true;
 }
--- a/packages/consensus/src/shard/shardHost.ts
+++ b/packages/consensus/src/shard/shardHost.ts
@@ -5,6 +5,7 @@
 import { consensusCalls } from '../protocol/consensusCalls.js';
 import type { Identity } from '../group/identity.js';
 import type { StateMachine } from '../state/stateMachine.js';
+import { DamagedShardFileError } from './damagedShardFileError.js';
 import { Member } from './member.js';
 import type { MemberOptions } from '../state/memberOptions.js';
 import { replyAsLeader } from '../protocol/replyAsLeader.js';
@@ -132,7 +133,7 @@
       await this.#mintMemberId(shard);
       await new Journal(disk, `${shard}.shard`).rewrite([]);
       opened = await build(this.#file(shard));
-      if (opened === 'damaged') throw new Error(`${shard}: still damaged after it was emptied`);
+      if (opened === 'damaged') throw new DamagedShardFileError(shard);
     }
     this.#members.set(shard, opened);
     return opened;
@@ -153,7 +154,7 @@
   }
 
   #file(shard: string): ShardFile {
-    return new ShardFile(new Journal(this.#options.disk, `${shard}${fileEnding}`));
+    return new ShardFile(new Journal(this.#options.disk, `${shard}${fileEnding}`), shard);
   }
 
   #member(body: { readonly shard: string; readonly memberId: string }): Hosted {
--- a/packages/consensus/src/state/memberState.ts
+++ b/packages/consensus/src/state/memberState.ts
@@ -4,6 +4,7 @@
 import type { Entry } from '../log/entry.js';
 import type { EntryLog } from '../log/entryLog.js';
 import type { Identity } from '../group/identity.js';
+import { MissingEntryError } from './missingEntryError.js';
 import type { MemberOptions } from './memberOptions.js';
 import type { ShardFile } from '../log/shardFile.js';
 import { DeduplicationTable } from '../log/deduplicationTable.js';
@@ -102,7 +103,7 @@
     while (this.committed < Math.min(index, this.log.lastIndex)) {
       const position = this.committed + 1;
       const entry = this.log.at(position);
-      if (entry === undefined) throw new Error(`no entry at ${position} in ${this.options.shard}`);
+      if (entry === undefined) throw new MissingEntryError(this.options.shard, position);
       this.committed = position;
       told(position, entry, this.#apply(entry));
     }
