--- /dev/null
+++ b/packages/consensus/src/election/index.ts
@@ -0,0 +1,1 @@
+export * from './election.js';
--- /dev/null
+++ b/packages/consensus/src/group/index.ts
@@ -0,0 +1,2 @@
+export * from './groupMember.js';
+export * from './identity.js';
--- a/packages/consensus/src/log/deduplicationTable.ts
+++ b/packages/consensus/src/log/deduplicationTable.ts
@@ -1,33 +1,38 @@
-/** Commands that had their effect, so that one sent again has none. The bound is counted in commands: all members forget alike. */
+/**
+ * Results of applied commands by id, so that a command that is sent again has no second effect. The bound is a number of commands, not a
+ * time: all members drop the same ones.
+ */
 export class DeduplicationTable {
   readonly #limit: number;
-  readonly #returns = new Map<string, unknown>();
+  readonly #results = new Map<string, unknown>();
 
   constructor(limit: number) {
     this.#limit = limit;
   }
 
   has(id: string): boolean {
-    return this.#returns.has(id);
+    return this.#results.has(id);
   }
 
   get(id: string): unknown {
-    return this.#returns.get(id);
+    return this.#results.get(id);
   }
 
+  /** Adds a result, and drops the oldest beyond the limit. */
   put(id: string, result: unknown): void {
-    this.#returns.set(id, result);
-    if (this.#returns.size <= this.#limit) return;
-    const oldest = this.#returns.keys().next();
-    if (oldest.done !== true) this.#returns.delete(oldest.value);
+    this.#results.set(id, result);
+    if (this.#results.size <= this.#limit) return;
+    const oldest = this.#results.keys().next();
+    if (oldest.done !== true) this.#results.delete(oldest.value);
   }
 
+  /** All ids with their results, oldest first, as a snapshot holds them. */
   all(): [string, unknown][] {
-    return [...this.#returns];
+    return [...this.#results];
   }
 
   restore(all: readonly (readonly [string, unknown])[]): void {
-    this.#returns.clear();
-    for (const [id, result] of all) this.#returns.set(id, result);
+    this.#results.clear();
+    for (const [id, result] of all) this.#results.set(id, result);
   }
 }
--- a/packages/consensus/src/log/entry.ts
+++ b/packages/consensus/src/log/entry.ts
@@ -1,8 +1,8 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
-import { GroupMember } from '../group/groupMember.js';
+import { GroupMember } from '../group/index.js';
 
-/** One record of the log. */
+/** One entry of the log. `open` starts a leader's term, `group` takes effect as soon as it is in the log. */
 export const Entry = v.strictObject({
   term: Count,
   payload: v.variant('kind', [
--- a/packages/consensus/src/log/entryLog.ts
+++ b/packages/consensus/src/log/entryLog.ts
@@ -1,7 +1,7 @@
 import { CommittedEntryConflictError } from './committedEntryConflictError.js';
-import type { Snapshot } from '../snapshot/snapshot.js';
+import type { Snapshot } from '../snapshot/index.js';
 import type { Entry } from './entry.js';
-import type { GroupMember } from '../group/groupMember.js';
+import type { GroupMember } from '../group/index.js';
 
 interface Position {
   readonly term: number;
@@ -9,12 +9,12 @@
 }
 
 /**
- * The log of a shard in memory: a snapshot, a tail of the entries behind it, and the entries after it. The tail lets a member that
- * is a little behind follow by entries. Its rule: what was committed is never cut.
+ * The log of a shard in memory: a snapshot, the tail of entries that it covers, and the entries after it. With the tail, a follower
+ * that lags a little needs no snapshot.
  */
 export class EntryLog {
   #snapshot: Snapshot;
-  /** The position before the first entry held; at the snapshot or behind it. */
+  /** The position before the first entry that is kept; at the snapshot's index or below. */
   #base: Position;
   #entries: Entry[] = [];
 
@@ -27,7 +27,7 @@
     return this.#snapshot;
   }
 
-  /** The position before the first entry held: who stands there or later can follow by entries. */
+  /** The position before the first entry that is kept: a follower at it or later can be sent entries. */
   get base(): Position {
     return this.#base;
   }
@@ -40,6 +40,7 @@
     return { term: this.termAt(this.lastIndex) ?? 0, index: this.lastIndex };
   }
 
+  /** The term of the entry at an index; undefined where it is not kept. */
   termAt(index: number): number | undefined {
     return index === this.#base.index ? this.#base.term : this.at(index)?.term;
   }
@@ -48,18 +49,22 @@
     return index <= this.#base.index ? undefined : this.#entries[index - this.#base.index - 1];
   }
 
+  /** Up to `limit` entries after `index`; none where the log does not reach back to it. */
   after(index: number, limit: number): readonly Entry[] {
     const start = index - this.#base.index;
     return start < 0 ? [] : this.#entries.slice(start, start + limit);
   }
 
-  /** Writes entries behind `index`, cutting what conflicts. Returns the index from which something changed, if anything did. */
-  write(index: number, entries: readonly Entry[], committed: number): number | undefined {
+  /**
+   * Writes entries after `index`, truncating from the first that conflicts (Raft, section 5.3). Returns the index of the first that
+   * changed, if any did. Throws CommittedEntryConflictError where the conflict is at or below `commitIndex`.
+   */
+  write(index: number, entries: readonly Entry[], commitIndex: number): number | undefined {
     for (let step = 0; step < entries.length; step += 1) {
       const entry = entries[step];
       const position = index + step + 1;
       if (entry === undefined || position <= this.#snapshot.index || this.termAt(position) === entry.term) continue;
-      if (position <= committed) throw new CommittedEntryConflictError(position);
+      if (position <= commitIndex) throw new CommittedEntryConflictError(position);
       this.#entries.length = position - this.#base.index - 1;
       this.#entries.push(...entries.slice(step));
       return position;
@@ -67,14 +72,14 @@
     return undefined;
   }
 
-  /** Starts again on a snapshot, dropping every entry. */
+  /** Replaces the log by a snapshot, dropping every entry. */
   restart(snapshot: Snapshot): void {
     this.#snapshot = snapshot;
     this.#base = { index: snapshot.index, term: snapshot.term };
     this.#entries = [];
   }
 
-  /** Moves the snapshot up to an index that was applied, keeping the entries after `keepAfter`, which is not above it. */
+  /** Moves the snapshot up to an applied index, keeping the entries after `keepAfter`, which is at or below it. */
   compact(snapshot: Snapshot, keepAfter: number): void {
     const base = { index: keepAfter, term: this.termAt(keepAfter) ?? 0 };
     this.#entries = this.#entries.slice(keepAfter - this.#base.index);
@@ -82,7 +87,7 @@
     this.#snapshot = snapshot;
   }
 
-  /** Puts the tail of a file behind the snapshot it stands on; one that doesn't end there is left out. */
+  /** Adds the tail that a file holds; ignored where it does not end at the snapshot. */
   restoreTail(base: Position, entries: readonly Entry[]): void {
     if (this.#entries.length > 0 || base.index + entries.length !== this.#snapshot.index) return;
     if (entries.length === 0 || entries.at(-1)?.term !== this.#snapshot.term) return;
@@ -90,13 +95,13 @@
     this.#entries = [...entries];
   }
 
-  /** The group as the newest group record has it, committed or not. */
+  /** The group of the newest group entry, committed or not. */
   group(): readonly GroupMember[] {
-    return this.groupRecord()?.group ?? this.#snapshot.group;
+    return this.groupEntry()?.group ?? this.#snapshot.group;
   }
 
-  /** Where the newest group record stands, if it is not in the snapshot. */
-  groupRecord(): { readonly index: number; readonly group: readonly GroupMember[] } | undefined {
+  /** The newest group entry after the snapshot. */
+  groupEntry(): { readonly index: number; readonly group: readonly GroupMember[] } | undefined {
     for (let index = this.lastIndex; index > this.#snapshot.index; index -= 1) {
       const payload = this.at(index)?.payload;
       if (payload?.kind === 'group') return { index, group: payload.group };
--- a/packages/consensus/src/log/shardFile.ts
+++ b/packages/consensus/src/log/shardFile.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
 import { Count, isFields } from '@pewterlanding/model';
 import type { Journal } from '@pewterlanding/runtime';
-import { Snapshot } from '../snapshot/snapshot.js';
+import { Snapshot } from '../snapshot/index.js';
 import { Entry } from './entry.js';
 import { EntryLog } from './entryLog.js';
-import type { GroupMember } from '../group/groupMember.js';
+import type { GroupMember } from '../group/index.js';
 import { logFileFormat1 } from './logFileFormat1.js';
 import { UnsupportedFormatError } from './unsupportedFormatError.js';
 
@@ -78,10 +78,12 @@
     return { currentTerm, log: logOf(records, bootstrap), damaged: false };
   }
 
+  /** Appends and syncs a vote. Rejects where the disk fails, as all writes here. */
   async vote(term: number): Promise<void> {
     await this.#append({ format: currentFormat, kind: 'vote', term });
   }
 
+  /** Appends and syncs the entries that follow `index`. */
   async entries(term: number, index: number, entries: readonly Entry[]): Promise<void> {
     await this.#append({ format: currentFormat, kind: 'entries', term, index, entries: [...entries] });
   }
--- /dev/null
+++ b/packages/consensus/src/member/index.ts
@@ -0,0 +1,1 @@
+export * from './member.js';
--- a/packages/consensus/src/protocol/leaderReply.ts
+++ b/packages/consensus/src/protocol/leaderReply.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { Address } from '@pewterlanding/model';
 
-/** A return that only a shard's leader gives; others say whom they take for the leader. */
+/** The response to a call that only a shard's leader serves; other members return the leader's address, if they know it. */
 export function leaderReply<T>(
   value: v.GenericSchema<unknown, T>,
 ): v.GenericSchema<unknown, { served: true; value: T } | { served: false; leader?: Address | undefined }> {
--- a/packages/consensus/src/protocol/replyAsLeader.ts
+++ b/packages/consensus/src/protocol/replyAsLeader.ts
@@ -3,7 +3,7 @@
 
 type LeaderReply<T> = { served: true; value: T } | { served: false; leader?: Address | undefined };
 
-/** Runs what only a leader may do, and turns "not the leader" into a return with a hint. */
+/** Runs what only a leader serves, and turns NotLeaderError into a response with the leader's address. Other errors pass. */
 export async function replyAsLeader<T>(run: () => Promise<T>): Promise<LeaderReply<T>> {
   try {
     return { served: true, value: await run() };
--- a/packages/consensus/src/reconfiguration/groupReconciler.ts
+++ b/packages/consensus/src/reconfiguration/groupReconciler.ts
@@ -1,84 +1,84 @@
 import type { Address, NodeName } from '@pewterlanding/model';
 import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { every } from '@pewterlanding/runtime';
-import { consensusCalls } from '../protocol/consensusCalls.js';
-import type { Identity } from '../group/identity.js';
-import type { Member } from '../shard/member.js';
-import type { GroupMember } from '../group/groupMember.js';
+import type { GroupMember, Identity } from '../group/index.js';
+import type { Member } from '../member/index.js';
+import { consensusCalls } from '../protocol/index.js';
 
-interface Wanted {
+interface WantedNode {
   readonly name: NodeName;
   readonly address: Address;
 }
 
-interface GroupKeeperOptions<C, R> {
+interface GroupReconcilerOptions<C, R> {
   readonly member: Member<C, R>;
   readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly log: Log;
   readonly failureTimeoutMs: number;
-  /** Where the shard shall sit, in order; undefined while that is not known. */
-  readonly wanted: () => readonly Wanted[] | undefined;
-  /** Told after each change of the group. */
+  /** The nodes that should hold the shard, the preferred leader first; undefined while that is not known. */
+  readonly wanted: () => readonly WantedNode[] | undefined;
+  /** Called after each committed change of the group. */
   readonly changed?: () => void;
 }
 
-/** Who was heard within this part of a failure timeout, two heartbeats, is there. */
-const surelyThereRatio = 0.4;
+/** A member that was heard within this part of a failure timeout, two heartbeats, is surely reachable. */
+const reachableRatio = 0.4;
 
 /**
- * On the leader of a shard: brings its group to the members that are wanted, one step at a time. A step adds one vote or takes
- * one away, so that any two majorities that follow each other share a member. Why the order of the steps is what it is
- * stands in docs/design.md under "Moves of copies".
+ * On a shard's leader: brings the group to the wanted nodes, one change at a time. Each change adds or removes one voter, so that the
+ * majorities before and after it overlap (Raft dissertation, section 4.1). docs/design.md, "Moves of copies", explains the order of the
+ * changes.
  */
 export class GroupReconciler<C, R> {
-  readonly #options: GroupKeeperOptions<C, R>;
+  readonly #options: GroupReconcilerOptions<C, R>;
   readonly #stop: () => void;
-  /** Addresses where a machine began anew. */
-  readonly #restarted = new Set<Address>();
-  #stepping = false;
-  #again = false;
-  #closed = false;
+  /** Addresses whose processes have restarted since they were last asked for their identities. */
+  readonly #restartedAddresses = new Set<Address>();
+  #isStepping = false;
+  #stepAgain = false;
+  #isClosed = false;
 
-  constructor(options: GroupKeeperOptions<C, R>) {
+  constructor(options: GroupReconcilerOptions<C, R>) {
     this.#options = options;
     this.#stop = every(options.clock, options.failureTimeoutMs, () => this.step());
   }
 
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.#stop();
   }
 
-  /** Looks at once instead of at the next failure timeout: something that a step waits for has changed. */
+  /** Steps now instead of at the next failure timeout, since something that a step waits for has changed. */
   stepSoon(): void {
     if (this.#options.member.isLeader) void this.step().catch(() => this.#options.counters.add('consensus.stepFailed'));
   }
 
-  /** A machine began anew at an address: perhaps without its disk. */
+  /** The process at an address has restarted, perhaps with an empty disk; it is asked for its identity. */
   meet(address: Address): void {
     if (!this.#options.member.isLeader) return;
-    this.#restarted.add(address);
+    this.#restartedAddresses.add(address);
     this.stepSoon();
   }
 
-  /** Takes steps until nothing is left that can be done now. */
+  /** Changes the group until no change is possible now. */
   async step(): Promise<void> {
-    this.#again = true;
-    if (this.#stepping) return;
-    this.#stepping = true;
+    this.#stepAgain = true;
+    if (this.#isStepping) return;
+    this.#isStepping = true;
     try {
-      while (this.#again && !this.#closed) {
-        this.#again = false;
-        if (await this.#takeStep()) this.#again = true;
+      while (this.#stepAgain && !this.#isClosed) {
+        this.#stepAgain = false;
+        if (await this.#changeOnce()) this.#stepAgain = true;
       }
     } finally {
-      this.#stepping = false;
+      this.#isStepping = false;
     }
   }
 
-  async #takeStep(): Promise<boolean> {
+  /** Makes the first change that is possible; false when there is none. */
+  async #changeOnce(): Promise<boolean> {
     const { member, log } = this.#options;
     const wanted = this.#options.wanted();
     if (!member.isLeader || wanted === undefined || wanted.length === 0) return false;
@@ -99,88 +99,93 @@
     return true;
   }
 
-  /** A machine that answers under its old name with a new member id has lost its disk: the old member goes, the new one follows. */
+  /** A node that answers with a new member id has lost its disk: a learner with the new id takes the place of the old member. */
   async #replaceRestarted(group: readonly GroupMember[]): Promise<readonly GroupMember[] | undefined> {
     for (const follower of this.#options.member.followers()) {
       const { identity } = follower.groupMember;
-      // Only where it was refused or began anew is it asked: one that is merely silent would hold all other steps up.
-      if (!this.#restarted.delete(identity.address) && !follower.refused) continue;
+      // Only a node that refused a call or restarted is asked: waiting for one that is unreachable would delay all other changes.
+      if (!this.#restartedAddresses.delete(identity.address) && !follower.isRefused) continue;
       const now = await this.#identify(identity.address);
       if (now === undefined || now.name !== identity.name || now.memberId === identity.memberId) continue;
       return group.map((groupMember) =>
         groupMember.identity.memberId === identity.memberId ? { identity: now, isVoter: false } : groupMember,
       );
     }
-    this.#restarted.clear();
+    this.#restartedAddresses.clear();
     return undefined;
   }
 
-  /** A newcomer is ready while a member that nobody wants is silent: the silent one goes first, then the newcomer counts. */
-  #removeUnreachable(group: readonly GroupMember[], wanted: readonly Wanted[]): readonly GroupMember[] | undefined {
+  /** Removes an unreachable voter on an unwanted node, once a learner is ready to become a voter next. */
+  #removeUnreachable(group: readonly GroupMember[], wanted: readonly WantedNode[]): readonly GroupMember[] | undefined {
     const { member, clock, failureTimeoutMs } = this.#options;
-    if (this.#ready() === undefined) return undefined;
+    if (this.#readyLearner() === undefined) return undefined;
     const unreachable = member
       .followers()
       .find(
         ({ groupMember, heardMs }) =>
-          groupMember.isVoter && clock.nowMs() - heardMs > failureTimeoutMs && !wanted.some((place) => isAt(groupMember, place)),
+          groupMember.isVoter && clock.nowMs() - heardMs > failureTimeoutMs && !wanted.some((node) => isOn(groupMember, node)),
       );
     return unreachable === undefined
       ? undefined
       : group.filter((groupMember) => groupMember.identity.memberId !== unreachable.groupMember.identity.memberId);
   }
 
-  async #addLearner(group: readonly GroupMember[], wanted: readonly Wanted[]): Promise<readonly GroupMember[] | undefined> {
-    // One newcomer at a time, so that only one snapshot is under way.
+  async #addLearner(group: readonly GroupMember[], wanted: readonly WantedNode[]): Promise<readonly GroupMember[] | undefined> {
+    // One learner at a time, so that only one snapshot is being sent.
     if (group.some((groupMember) => !groupMember.isVoter)) return undefined;
-    for (const place of wanted) {
-      if (group.some((groupMember) => isAt(groupMember, place))) continue;
-      const identity = await this.#identify(place.address);
-      if (identity !== undefined && identity.name === place.name) return [...group, { identity, isVoter: false }];
+    for (const node of wanted) {
+      if (group.some((groupMember) => isOn(groupMember, node))) continue;
+      const identity = await this.#identify(node.address);
+      if (identity !== undefined && identity.name === node.name) return [...group, { identity, isVoter: false }];
     }
     return undefined;
   }
 
-  /** A follower that caught up gets its vote, but not while a voter that nobody wants may be gone: that one would have to go first. */
-  #promoteLearner(group: readonly GroupMember[], wanted: readonly Wanted[]): readonly GroupMember[] | undefined {
-    const ready = this.#ready();
-    if (ready === undefined || this.#someoneMayBeGone(wanted)) return undefined;
+  /**
+   * Makes a learner that has caught up a voter, but not while a voter on an unwanted node may be unreachable: that one would have to be
+   * removed first.
+   */
+  #promoteLearner(group: readonly GroupMember[], wanted: readonly WantedNode[]): readonly GroupMember[] | undefined {
+    const learner = this.#readyLearner();
+    if (learner === undefined || this.#mayLoseUnwantedVoter(wanted)) return undefined;
     return group.map((groupMember) =>
-      groupMember.identity.memberId === ready.identity.memberId ? { ...groupMember, isVoter: true } : groupMember,
+      groupMember.identity.memberId === learner.identity.memberId ? { ...groupMember, isVoter: true } : groupMember,
     );
   }
 
-  /** A voter that nobody wants is neither surely there nor yet known to be silent. */
-  #someoneMayBeGone(wanted: readonly Wanted[]): boolean {
+  /** Whether a voter on an unwanted node is neither surely reachable nor yet found unreachable. */
+  #mayLoseUnwantedVoter(wanted: readonly WantedNode[]): boolean {
     const { member, clock, failureTimeoutMs } = this.#options;
-    const heardSinceMs = clock.nowMs() - failureTimeoutMs * surelyThereRatio;
+    const heardSinceMs = clock.nowMs() - failureTimeoutMs * reachableRatio;
     return member
       .followers()
       .some(
-        ({ groupMember, heardMs, answered }) =>
-          groupMember.isVoter && !wanted.some((place) => isAt(groupMember, place)) && (!answered || heardMs < heardSinceMs),
+        ({ groupMember, heardMs, hasReplied }) =>
+          groupMember.isVoter && !wanted.some((node) => isOn(groupMember, node)) && (!hasReplied || heardMs < heardSinceMs),
       );
   }
 
-  #ready(): GroupMember | undefined {
+  /** A learner that has caught up and is reachable. */
+  #readyLearner(): GroupMember | undefined {
     const { member, clock, failureTimeoutMs } = this.#options;
     const nowMs = clock.nowMs();
     return member
       .followers()
-      .find(({ groupMember, caughtUp, heardMs }) => !groupMember.isVoter && caughtUp && nowMs - heardMs < failureTimeoutMs)?.groupMember;
+      .find(({ groupMember, isCaughtUp, heardMs }) => !groupMember.isVoter && isCaughtUp && nowMs - heardMs < failureTimeoutMs)
+      ?.groupMember;
   }
 
-  /** Seats nobody wants go one by one, only once all wanted ones count; a leader that is to go hands over first. */
-  #removeUnwanted(group: readonly GroupMember[], wanted: readonly Wanted[]): readonly GroupMember[] | undefined {
+  /** Removes members on unwanted nodes one by one, once all wanted nodes have their votes; a leader transfers its leadership first. */
+  #removeUnwanted(group: readonly GroupMember[], wanted: readonly WantedNode[]): readonly GroupMember[] | undefined {
     const { member } = this.#options;
-    const complete = wanted.every((place) => group.some((groupMember) => groupMember.isVoter && isAt(groupMember, place)));
-    const leaving = group.filter((groupMember) => !wanted.some((place) => isAt(groupMember, place)));
-    const other = leaving.find((groupMember) => groupMember.identity.memberId !== member.self.memberId);
-    // A newcomer that is wanted no more goes at once: it has no vote to miss.
-    const stray = leaving.find((groupMember) => !groupMember.isVoter);
-    const gone = stray ?? (complete ? other : undefined);
-    if (gone !== undefined) return group.filter((groupMember) => groupMember !== gone);
-    if (complete && leaving.length > 0) member.transferLeadership();
+    const isComplete = wanted.every((node) => group.some((groupMember) => groupMember.isVoter && isOn(groupMember, node)));
+    const unwanted = group.filter((groupMember) => !wanted.some((node) => isOn(groupMember, node)));
+    const otherUnwanted = unwanted.find((groupMember) => groupMember.identity.memberId !== member.self.memberId);
+    // A learner is removed at once, since it has no vote.
+    const unwantedLearner = unwanted.find((groupMember) => !groupMember.isVoter);
+    const removed = unwantedLearner ?? (isComplete ? otherUnwanted : undefined);
+    if (removed !== undefined) return group.filter((groupMember) => groupMember !== removed);
+    if (isComplete && unwanted.length > 0) member.transferLeadership();
     return undefined;
   }
 
@@ -195,13 +200,13 @@
   }
 }
 
-function isAt(groupMember: GroupMember, place: Wanted): boolean {
-  return groupMember.identity.name === place.name && groupMember.identity.address === place.address;
+function isOn({ identity }: GroupMember, node: WantedNode): boolean {
+  return identity.name === node.name && identity.address === node.address;
 }
 
-/** The agreed order is the wanted one. */
-function reorder(group: readonly GroupMember[], wanted: readonly Wanted[]): readonly GroupMember[] | undefined {
+/** Puts the group into the wanted order, which decides who leads, once it consists of the wanted nodes. */
+function reorder(group: readonly GroupMember[], wanted: readonly WantedNode[]): readonly GroupMember[] | undefined {
   if (group.length !== wanted.length || group.some((groupMember) => !groupMember.isVoter)) return undefined;
-  const ordered = wanted.flatMap((place) => group.filter((groupMember) => isAt(groupMember, place)));
+  const ordered = wanted.flatMap((node) => group.filter((groupMember) => isOn(groupMember, node)));
   return ordered.length === group.length && ordered.some((groupMember, index) => groupMember !== group[index]) ? ordered : undefined;
 }
--- /dev/null
+++ b/packages/consensus/src/reconfiguration/index.ts
@@ -0,0 +1,1 @@
+export * from './groupReconciler.js';
--- /dev/null
+++ b/packages/consensus/src/replication/index.ts
@@ -0,0 +1,3 @@
+export * from './followerView.js';
+export * from './leadership.js';
+export * from './transferTarget.js';
--- a/packages/consensus/src/snapshot/snapshotSender.ts
+++ b/packages/consensus/src/replication/snapshotSender.ts
@@ -1,30 +1,40 @@
 import { createHash } from 'node:crypto';
 import { Encoder } from 'cbor-x';
-import { consensusCalls } from '../protocol/consensusCalls.js';
-import type { Follower } from '../election/follower.js';
-import type { MemberState } from '../state/memberState.js';
-import type { Snapshot } from './snapshot.js';
+import { consensusCalls } from '../protocol/index.js';
+import type { Snapshot } from '../snapshot/index.js';
+import type { MemberState } from '../state/index.js';
+import type { Follower } from './follower.js';
 
-/** Far below what one message may hold, so that heartbeats of other shards on the same connection don't wait long behind it. */
+/** Far below what one message may hold, so that heartbeats of other shards on the same connection are not delayed long. */
 const chunkBytes = 1 << 20;
-/** A chunk may take so many failure timeouts: the last one is answered only after the receiver's sync. */
+/** The wait for a chunk's reply in failure timeouts: the last one is answered only after the receiver's sync. */
 const chunkTimeouts = 4;
 
 interface EncodedSnapshot {
   readonly snapshot: Snapshot;
   readonly bytes: Uint8Array;
+  /** SHA-256 in hex. */
   readonly checksum: string;
 }
 
+interface ChunkResult {
+  /** The receiver's current term. */
+  readonly term: number;
+  /** The index of the snapshot, once the receiver has installed and synced it. */
+  readonly installedIndex: number | undefined;
+  readonly hasMore: boolean;
+}
+
 interface Transfer {
   readonly encoded: EncodedSnapshot;
-  /** What the receiver holds of it. */
+  /** How many bytes of it the receiver has. */
   offset: number;
 }
 
 /**
- * Sends snapshots from a leader. One that is being sent is pinned until it is taken or its receiver goes, however often the log is
- * compacted meanwhile, and sending resumes at what the receiver holds. It is encoded once for all who receive it at the same time.
+ * Sends snapshots from a leader in chunks (Raft, section 7). A snapshot that is being sent is pinned until the receiver has installed
+ * it or left the group, however often the log is compacted meanwhile, and sending resumes at the bytes that the receiver has. A
+ * snapshot is encoded once for all who receive it at the same time.
  */
 export class SnapshotSender<C, R> {
   readonly #state: MemberState<C, R>;
@@ -36,18 +46,18 @@
     this.#term = term;
   }
 
-  /** The oldest index from which a receiver will go on by entries. */
+  /** The lowest index of a snapshot being sent: its receiver will need the entries after it. */
   get pinnedIndex(): number | undefined {
     const indices = [...this.#transfers.values()].map(({ encoded }) => encoded.snapshot.index);
     return indices.length === 0 ? undefined : Math.min(...indices);
   }
 
-  /** Whether a snapshot is under way to this member. */
-  isSending(follower: Follower): boolean {
+  /** Whether a snapshot is being sent to this follower. */
+  isSendingTo(follower: Follower): boolean {
     return this.#transfers.has(follower.groupMember.identity.memberId);
   }
 
-  /** Receivers that left the group hold nothing back. */
+  /** Drops the transfers to members that left the group, and with them their pins. */
   keepOnly(memberIds: ReadonlySet<string>): void {
     for (const memberId of this.#transfers.keys()) if (!memberIds.has(memberId)) this.#transfers.delete(memberId);
   }
@@ -56,8 +66,8 @@
     this.#transfers.clear();
   }
 
-  /** Sends one chunk. Returns the index of a snapshot that has been taken and synced, and the newest term of the receiver. */
-  async sendChunk(follower: Follower): Promise<{ readonly term: number; readonly takenIndex: number | undefined; readonly more: boolean }> {
+  /** Sends the next chunk. Rejects with TransportError where no reply comes. */
+  async sendChunk(follower: Follower): Promise<ChunkResult> {
     const { options } = this.#state;
     const { memberId, address } = follower.groupMember.identity;
     const transfer = this.#transfers.get(memberId) ?? { encoded: this.#encode(), offset: 0 };
@@ -85,18 +95,18 @@
     if (reply.outcome === 'taken') {
       this.#transfers.delete(memberId);
       options.counters.add('consensus.snapshotSent');
-      return { term: reply.term, takenIndex: snapshot.index, more: true };
+      return { term: reply.term, installedIndex: snapshot.index, hasMore: true };
     }
     if (reply.outcome === 'refused') {
-      // It begins anew, from a new encoding, at the next heartbeat.
+      // The next heartbeat starts again with the current snapshot.
       this.#transfers.delete(memberId);
       options.counters.add('consensus.snapshotNotTaken');
-      return { term: reply.term, takenIndex: undefined, more: false };
+      return { term: reply.term, installedIndex: undefined, hasMore: false };
     }
-    const moved = reply.held !== offset;
+    const hasMoved = reply.held !== offset;
     if (reply.held !== offset + chunkBytes) options.counters.add('consensus.snapshotResumed');
     transfer.offset = Math.min(reply.held, bytes.length);
-    return { term: reply.term, takenIndex: undefined, more: moved };
+    return { term: reply.term, installedIndex: undefined, hasMore: hasMoved };
   }
 
   #encode(): EncodedSnapshot {
--- a/packages/consensus/src/reconfiguration/bootstrapGroup.ts
+++ b/packages/consensus/src/shard/bootstrapGroup.ts
@@ -2,9 +2,12 @@
 import type { Clock, Counters, Transport } from '@pewterlanding/runtime';
 import { rendezvous } from '@pewterlanding/model';
 import { pause } from '@pewterlanding/runtime';
-import { consensusCalls } from '../protocol/consensusCalls.js';
-import type { ShardHost } from '../shard/shardHost.js';
-import type { GroupMember } from '../group/groupMember.js';
+import type { GroupMember } from '../group/index.js';
+import { consensusCalls } from '../protocol/index.js';
+import type { ShardHost } from './shardHost.js';
+
+/** The pause between two rounds of asking all seeds is this part of `waitMs`. */
+const pausesPerWait = 4;
 
 interface BootstrapOptions {
   readonly shard: string;
@@ -13,16 +16,18 @@
   readonly clock: Clock;
   readonly counters: Counters;
   readonly seeds: readonly Address[];
+  /** How long a seed may take to answer. */
   readonly waitMs: number;
-  /** Whether this disk is one of the very first start. No other empty disk may found, whatever the others say. */
+  /** Whether this disk belongs to the first start of the cluster. No other empty disk may bootstrap the shard. */
   readonly bootstrap?: boolean;
-  /** The members that this machine's file holds; none on an empty disk. */
+  /** The group that this node's file holds; empty on an empty disk. */
   readonly known: readonly GroupMember[];
 }
 
 /**
- * How the first shard comes to be, when no table can say who sits in it. Only when every seed answers that it knows no
- * members, and all are of the very first start, does the first of them found the shard. Every other empty disk waits to be added.
+ * Bootstraps the group of the first shard, which no shard map places yet. The first seed in rendezvous order bootstraps it, and only when
+ * all seeds answer that they know no group and belong to the first start. Any other empty disk waits to be added: for it the result is
+ * empty.
  */
 export async function bootstrapGroup(options: BootstrapOptions): Promise<readonly GroupMember[]> {
   const { shard, host, transport, clock, counters, seeds, waitMs, bootstrap = true } = options;
@@ -30,7 +35,7 @@
   const self = await host.identity(shard);
   transport.serve(consensusCalls.bootstrapStatus, async (body) => ({
     identity: await host.identity(body.shard),
-    // A member that was added later knows of others, though this process began without any.
+    // A member that was added later knows a group, though this process started with none.
     group: [...(host.group(body.shard) ?? group)],
     bootstrap,
   }));
@@ -43,23 +48,23 @@
   while (group.length === 0 && bootstrap && seeds.includes(transport.here)) {
     const statuses = (
       await Promise.all(seeds.map((seed) => transport.ask(seed, consensusCalls.bootstrapStatus, { shard }, waitMs).catch(() => undefined)))
-    ).flatMap((one) => one ?? []);
-    const informed = statuses.find((one) => one.group.length > 0);
+    ).flatMap((status) => status ?? []);
+    const informed = statuses.find((status) => status.group.length > 0);
     if (informed !== undefined) {
-      // A member with this very member id is this machine's own; any other members mean that it has to wait.
+      // A group without this member id has to add this node first.
       if (!informed.group.some((groupMember) => groupMember.identity.memberId === self.memberId)) return [];
       group = informed.group;
-    } else if (first === transport.here && statuses.length === seeds.length && statuses.every((one) => one.bootstrap)) {
+    } else if (first === transport.here && statuses.length === seeds.length && statuses.every((status) => status.bootstrap)) {
       const order = rendezvous(
         shard,
-        statuses.map((one) => one.identity.name),
+        statuses.map((status) => status.identity.name),
       );
       group = order.flatMap((name) =>
-        statuses.filter((one) => one.identity.name === name).map((one) => ({ identity: one.identity, isVoter: true })),
+        statuses.filter(({ identity }) => identity.name === name).map(({ identity }) => ({ identity, isVoter: true })),
       );
       counters.add('consensus.bootstrapped');
       for (const seed of seeds) if (seed !== transport.here) transport.tell(seed, consensusCalls.found, { shard, group: [...group] });
-    } else await pause(clock, waitMs / 4);
+    } else await pause(clock, waitMs / pausesPerWait);
   }
   return group;
 }
--- a/packages/consensus/src/shard/hostedShard.ts
+++ b/packages/consensus/src/shard/hostedShard.ts
@@ -1,7 +1,7 @@
-import type { GroupReconciler } from '../reconfiguration/groupReconciler.js';
-import type { Member } from './member.js';
+import type { Member } from '../member/index.js';
+import type { GroupReconciler } from '../reconfiguration/index.js';
 
-/** A shard as a machine keeps it: what it holds, its member, and who tends its group. */
+/** A shard that is open on this node: its state machine, its member, and what reconciles its group when it leads. */
 export interface HostedShard<C, R, M> {
   readonly stateMachine: M;
   readonly member: Member<C, R>;
--- a/packages/consensus/src/shard/shardHost.ts
+++ b/packages/consensus/src/shard/shardHost.ts
@@ -1,26 +1,21 @@
-import { randomUUID } from 'node:crypto';
-import * as v from 'valibot';
 import type { Address, NodeName } from '@pewterlanding/model';
 import { Journal, TransportError } from '@pewterlanding/runtime';
-import { consensusCalls } from '../protocol/consensusCalls.js';
-import type { Identity } from '../group/identity.js';
-import type { StateMachine } from '../state/stateMachine.js';
+import type { GroupMember, Identity } from '../group/index.js';
+import { ShardFile } from '../log/index.js';
+import { Member } from '../member/index.js';
+import { consensusCalls, replyAsLeader } from '../protocol/index.js';
+import type { MemberOptions, ShardEnvironment, StateMachine } from '../state/index.js';
 import { DamagedShardFileError } from './damagedShardFileError.js';
-import { Member } from './member.js';
-import type { MemberOptions } from '../state/memberOptions.js';
-import { replyAsLeader } from '../protocol/replyAsLeader.js';
-import type { ShardEnvironment } from './shardEnvironment.js';
-import { ShardFile } from '../log/shardFile.js';
-import type { GroupMember } from '../group/groupMember.js';
+import { MemberIdentities } from './memberIdentities.js';
 
 interface ShardHostOptions extends ShardEnvironment {
   readonly name: NodeName;
   readonly address: Address;
-  /** Mints member ids; passed in so that a seed can decide them. */
+  /** Creates member ids; passed in so that simulations are repeatable. */
   readonly mintMemberId?: () => string;
 }
 
-type Hosted = Pick<
+type HostedMember = Pick<
   Member<unknown, unknown>,
   | 'preVote'
   | 'vote'
@@ -37,68 +32,50 @@
 >;
 type Hooks<C, R> = Pick<MemberOptions<C, R>, 'leadershipChanged' | 'applied' | 'noticed'>;
 
-const MemberIdFile = v.strictObject({ memberId: v.string() });
-
 const fileEnding = '.shard';
 
-/** All the shards that one process is a member of. Tasks meant for another member id are turned away and counted. */
+/** The shards that one process is a member of: opens and drops them, and serves their calls. Calls for another member id are refused. */
 export class ShardHost {
   readonly #options: ShardHostOptions;
-  readonly #members = new Map<string, Hosted>();
-  /** Files that were read for their members and not opened yet: what they hold may be large, and a start waits for it. */
+  readonly #members = new Map<string, HostedMember>();
+  /** Files that were read for their groups and not opened yet. They may be large, so that reading them twice would delay a start. */
   readonly #files = new Map<string, ShardFile>();
-  readonly #identities = new Map<string, Promise<Identity>>();
-  /** The member id that calls were last refused for, by shard. */
-  readonly #refused = new Map<string, string>();
+  readonly #identities: MemberIdentities;
+  /** By shard, the member id that a call was last refused for. */
+  readonly #refusedMemberIds = new Map<string, string>();
 
   constructor(options: ShardHostOptions) {
     this.#options = options;
-    const { transport } = options;
-    transport.serve(consensusCalls.identify, ({ shard }) => this.identity(shard));
-    transport.serve(consensusCalls.view, async ({ shard }) => {
-      const member = this.#members.get(shard);
-      if (member === undefined) return { served: false };
-      return replyAsLeader(async () => {
-        await member.confirmLeadership();
-        // Whoever asks may give a copy up on this answer: a removal that isn't committed may yet be undone by the next leader.
-        if (!member.groupCommitted) throw new TransportError('refused', `${shard}: a group change is under way`);
-        return member.view();
-      });
-    });
-    transport.serve(consensusCalls.preVote, (body) => this.#member(body).preVote(body));
-    transport.serve(consensusCalls.vote, (body) => this.#member(body).vote(body));
-    transport.serve(consensusCalls.append, (body) => this.#member(body).append(body));
-    transport.serve(consensusCalls.installSnapshot, (body) => this.#member(body).installSnapshot(body));
-    transport.serve(consensusCalls.fetch, async (body) => this.#member(body).fetch(body));
-    transport.serve(consensusCalls.transfer, async (body) => this.#member(body).transfer(body));
+    this.#identities = new MemberIdentities(options);
+    this.#serve();
   }
 
-  /** Who this process is in a shard; minted and synced the first time it is asked. */
+  /** This process's identity in a shard; created and synced at the first call. */
   identity(shard: string): Promise<Identity> {
-    const known = this.#identities.get(shard);
-    if (known !== undefined) return known;
-    const minted = this.#openIdentity(shard);
-    this.#identities.set(shard, minted);
-    return minted;
+    return this.#identities.get(shard);
   }
 
-  /** The members that a shard's file holds; none where the disk knows nothing of the shard. */
+  /** The group that a shard's file holds; empty where there is no file. Rejects with UnsupportedFormatError. */
   async known(shard: string): Promise<readonly GroupMember[]> {
     const file = this.#files.get(shard) ?? this.#file(shard);
     this.#files.set(shard, file);
     return file.group();
   }
 
-  /** The members as the member here has them now; undefined while there is none. */
+  /** The group as the member here has it; undefined while none is open. */
   group(shard: string): readonly GroupMember[] | undefined {
     return this.#members.get(shard)?.group();
   }
 
-  /** The shards that the disk holds files of. */
+  /** The shards that the disk holds files for. */
   async shards(): Promise<readonly string[]> {
     return (await this.#options.disk.list()).filter((file) => file.endsWith(fileEnding)).map((file) => file.slice(0, -fileEnding.length));
   }
 
+  /**
+   * Opens the member of a shard. A file damaged before its tail is emptied, and the member rejoins under a new member id. Rejects with
+   * UnsupportedFormatError, or with DamagedShardFileError where the emptied file still reads as damaged.
+   */
   async host<C, R>(
     shard: string,
     bootstrap: readonly GroupMember[],
@@ -106,9 +83,9 @@
     hooks: Hooks<C, R> = {},
   ): Promise<Member<C, R>> {
     const { clock, transport, disk, bounds, counters, log, fatal } = this.#options;
-    const read = this.#files.get(shard);
+    const readAhead = this.#files.get(shard);
     this.#files.delete(shard);
-    const build = async (file: ShardFile): Promise<Member<C, R> | 'damaged'> =>
+    const open = async (file: ShardFile): Promise<Member<C, R> | 'damaged'> =>
       Member.open({
         shard,
         file,
@@ -124,29 +101,28 @@
         fatal,
         ...hooks,
       });
-    let opened = await build(read ?? this.#file(shard));
+    let opened = await open(readAhead ?? this.#file(shard));
     if (opened === 'damaged') {
-      // What it voted cannot be known any more, so it must come back as somebody who voted nothing.
+      // Its votes may be lost, so it must not vote under this member id again.
       log.error(`${shard}: the file is damaged before its tail; rejoining as an empty member`);
       counters.add('consensus.damaged');
-      // The new id first: an empty file under the old one would vote again as if it had voted nothing.
-      await this.#mintMemberId(shard);
-      await new Journal(disk, `${shard}.shard`).rewrite([]);
-      opened = await build(this.#file(shard));
+      // The new id first: with an empty file under the old one, the member could vote twice in a term.
+      await this.#identities.mint(shard);
+      await new Journal(disk, fileOf(shard)).rewrite([]);
+      opened = await open(this.#file(shard));
       if (opened === 'damaged') throw new DamagedShardFileError(shard);
     }
     this.#members.set(shard, opened);
     return opened;
   }
 
-  /** Gives a shard up for good. Its identity goes first: what is left must never vote under it again. */
+  /** Drops a shard and its file for good. The member id goes first: what may be left of the file must not vote under it again. */
   async drop(shard: string): Promise<void> {
     this.#members.get(shard)?.close();
     this.#members.delete(shard);
-    this.#identities.delete(shard);
     this.#files.delete(shard);
-    await this.#options.disk.remove(`${shard}.member`);
-    await this.#options.disk.remove(`${shard}.shard`);
+    await this.#identities.drop(shard);
+    await this.#options.disk.remove(fileOf(shard));
   }
 
   close(): void {
@@ -154,10 +130,10 @@
   }
 
   #file(shard: string): ShardFile {
-    return new ShardFile(new Journal(this.#options.disk, `${shard}${fileEnding}`), shard);
+    return new ShardFile(new Journal(this.#options.disk, fileOf(shard)), shard);
   }
 
-  #member(body: { readonly shard: string; readonly memberId: string }): Hosted {
+  #member(body: { readonly shard: string; readonly memberId: string }): HostedMember {
     const member = this.#members.get(body.shard);
     if (member === undefined || member.self.memberId !== body.memberId) {
       this.#options.counters.add('consensus.turnedAway');
@@ -167,29 +143,36 @@
     return member;
   }
 
-  /** Heartbeats to a member that was replaced go on until the leader knows: one line for each is enough. */
+  /** A leader goes on calling a replaced member until it has found out, so only the first call is logged. */
   #logRefusal({ shard, memberId }: { readonly shard: string; readonly memberId: string }): void {
-    if (this.#refused.get(shard) === memberId) return;
-    this.#refused.set(shard, memberId);
-    const here = this.#members.get(shard)?.self.memberId ?? 'no member';
-    this.#options.log.warn(`${shard}: refused a call meant for member ${memberId}; here is ${here}`);
-  }
-
-  async #openIdentity(shard: string): Promise<Identity> {
-    const read = await new Journal(this.#options.disk, `${shard}.member`).open();
-    const minted = v.safeParse(MemberIdFile, read.records.at(-1));
-    return minted.success ? this.#identity(minted.output.memberId) : this.#mintMemberId(shard);
+    if (this.#refusedMemberIds.get(shard) === memberId) return;
+    this.#refusedMemberIds.set(shard, memberId);
+    const own = this.#members.get(shard)?.self.memberId ?? 'no member';
+    this.#options.log.warn(`${shard}: refused a call meant for member ${memberId}; here is ${own}`);
   }
 
-  async #mintMemberId(shard: string): Promise<Identity> {
-    const memberId = (this.#options.mintMemberId ?? randomUUID)();
-    await new Journal(this.#options.disk, `${shard}.member`).rewrite([{ memberId }]);
-    const identity = this.#identity(memberId);
-    this.#identities.set(shard, Promise.resolve(identity));
-    return identity;
+  #serve(): void {
+    const { transport } = this.#options;
+    transport.serve(consensusCalls.identify, ({ shard }) => this.identity(shard));
+    transport.serve(consensusCalls.view, async ({ shard }) => {
+      const member = this.#members.get(shard);
+      if (member === undefined) return { served: false };
+      return replyAsLeader(async () => {
+        await member.confirmLeadership();
+        // A node may drop its copy on this response, and a removal that is not committed may yet be undone by the next leader.
+        if (!member.groupCommitted) throw new TransportError('refused', `${shard}: a group change is under way`);
+        return member.view();
+      });
+    });
+    transport.serve(consensusCalls.preVote, (body) => this.#member(body).preVote(body));
+    transport.serve(consensusCalls.vote, (body) => this.#member(body).vote(body));
+    transport.serve(consensusCalls.append, (body) => this.#member(body).append(body));
+    transport.serve(consensusCalls.installSnapshot, (body) => this.#member(body).installSnapshot(body));
+    transport.serve(consensusCalls.fetch, async (body) => this.#member(body).fetch(body));
+    transport.serve(consensusCalls.transfer, async (body) => this.#member(body).transfer(body));
   }
+}
 
-  #identity(memberId: string): Identity {
-    return { name: this.#options.name, address: this.#options.address, memberId };
-  }
+function fileOf(shard: string): string {
+  return `${shard}${fileEnding}`;
 }
--- /dev/null
+++ b/packages/consensus/src/snapshot/index.ts
@@ -0,0 +1,2 @@
+export * from './snapshot.js';
+export * from './snapshotReceiver.js';
--- a/packages/consensus/src/snapshot/snapshotReceiver.ts
+++ b/packages/consensus/src/snapshot/snapshotReceiver.ts
@@ -7,49 +7,51 @@
   readonly index: number;
   readonly snapshotTerm: number;
   readonly lengthBytes: number;
-  /** SHA-256 of the whole, in hex. */
+  /** SHA-256 of the whole snapshot, in hex. */
   readonly checksum: string;
   readonly offset: number;
   readonly bytes: Uint8Array;
 }
 
 type Received =
-  | { readonly kind: 'held'; readonly held: number }
-  | { readonly kind: 'whole'; readonly snapshot: Snapshot }
-  | { readonly kind: 'bad'; readonly reason: string };
+  /** `offset` is where the next chunk has to start. */
+  | { readonly kind: 'incomplete'; readonly offset: number }
+  | { readonly kind: 'complete'; readonly snapshot: Snapshot }
+  | { readonly kind: 'invalid'; readonly reason: string };
 
-/** Puts the chunks of one snapshot together. Whoever sends the same snapshot goes on where the last chunk that came ends. */
+/** Assembles a snapshot from its chunks. Any leader that sends the same snapshot, by checksum, resumes where the last chunk ended. */
 export class SnapshotReceiver {
   #checksum = '';
   #chunks: Uint8Array[] = [];
-  #held = 0;
+  #offset = 0;
 
-  take(chunk: Chunk): Received {
-    if (chunk.checksum !== this.#checksum) this.#begin(chunk.checksum);
-    if (chunk.offset !== this.#held) return { kind: 'held', held: this.#held };
+  /** Adds a chunk, or says where the next has to start if this one does not fit. */
+  receive(chunk: Chunk): Received {
+    if (chunk.checksum !== this.#checksum) this.#restart(chunk.checksum);
+    if (chunk.offset !== this.#offset) return { kind: 'incomplete', offset: this.#offset };
     this.#chunks.push(chunk.bytes);
-    this.#held += chunk.bytes.length;
-    if (this.#held < chunk.lengthBytes) return { kind: 'held', held: this.#held };
-    const whole = Buffer.concat(this.#chunks);
-    this.#begin('');
-    if (whole.length !== chunk.lengthBytes) return { kind: 'bad', reason: `${whole.length} bytes of ${chunk.lengthBytes}` };
-    if (createHash('sha256').update(whole).digest('hex') !== chunk.checksum) return { kind: 'bad', reason: 'its checksum differs' };
-    return read(whole, chunk);
+    this.#offset += chunk.bytes.length;
+    if (this.#offset < chunk.lengthBytes) return { kind: 'incomplete', offset: this.#offset };
+    const bytes = Buffer.concat(this.#chunks);
+    this.#restart('');
+    if (bytes.length !== chunk.lengthBytes) return { kind: 'invalid', reason: `${bytes.length} bytes of ${chunk.lengthBytes}` };
+    if (createHash('sha256').update(bytes).digest('hex') !== chunk.checksum) return { kind: 'invalid', reason: 'its checksum differs' };
+    return decode(bytes, chunk);
   }
 
-  #begin(checksum: string): void {
+  #restart(checksum: string): void {
     this.#checksum = checksum;
     this.#chunks = [];
-    this.#held = 0;
+    this.#offset = 0;
   }
 }
 
-function read(whole: Uint8Array, { index, snapshotTerm }: Chunk): Received {
+function decode(bytes: Uint8Array, { index, snapshotTerm }: Chunk): Received {
   try {
-    const snapshot = v.parse(Snapshot, new Decoder({ useRecords: false }).decode(whole));
-    if (snapshot.index !== index || snapshot.term !== snapshotTerm) return { kind: 'bad', reason: 'it is of another index or term' };
-    return { kind: 'whole', snapshot };
+    const snapshot = v.parse(Snapshot, new Decoder({ useRecords: false }).decode(bytes));
+    if (snapshot.index !== index || snapshot.term !== snapshotTerm) return { kind: 'invalid', reason: 'it is of another index or term' };
+    return { kind: 'complete', snapshot };
   } catch {
-    return { kind: 'bad', reason: 'it does not decode' };
+    return { kind: 'invalid', reason: 'it does not decode' };
   }
 }
--- a/packages/consensus/src/state/consensusBounds.ts
+++ b/packages/consensus/src/state/consensusBounds.ts
@@ -1,7 +1,7 @@
-/** The one bound of a shard, and what follows from it. */
+/** Bounds of a shard. All its timing follows from the failure timeout. */
 export interface ConsensusBounds {
-  /** A leader not heard from for so long is silent. */
+  /** A leader that was not heard from for so long is taken to have failed, in milliseconds. */
   readonly failureTimeoutMs: number;
-  /** The file is rewritten when it is longer than this. */
+  /** The log is compacted and the file rewritten when the file is longer than this. */
   readonly compactBytes: number;
 }
--- a/packages/consensus/src/state/memberOptions.ts
+++ b/packages/consensus/src/state/memberOptions.ts
@@ -1,10 +1,9 @@
-import type { Identity } from '../group/identity.js';
+import type { GroupMember, Identity } from '../group/index.js';
+import type { ShardFile } from '../log/index.js';
+import type { ShardEnvironment } from './shardEnvironment.js';
 import type { StateMachine } from './stateMachine.js';
-import type { ShardFile } from '../log/shardFile.js';
-import type { ShardEnvironment } from '../shard/shardEnvironment.js';
-import type { GroupMember } from '../group/groupMember.js';
 
-/** What a member is made of. */
+/** What a member of a shard is opened with. */
 export interface MemberOptions<C, R> extends ShardEnvironment {
   readonly shard: string;
   readonly file: ShardFile;
@@ -12,10 +11,10 @@
   /** The members the shard was bootstrapped with; empty on a member that is yet to be added. */
   readonly bootstrap: readonly GroupMember[];
   readonly stateMachine: StateMachine<C, R>;
-  /** Told when this member begins to serve as leader, and when it ends. */
+  /** Called with the term when this member starts to serve as leader, and with undefined when it stops. */
   readonly leadershipChanged?: (term: number | undefined) => void;
-  /** Told after commands were applied. */
+  /** Called after entries were applied. */
   readonly applied?: () => void;
-  /** On the leader: told when a newcomer has caught up, or when a machine says that it is not the member that sat there. */
+  /** Called on the leader when a learner has caught up, or when a process answers that it is not the member expected at its address. */
   readonly noticed?: () => void;
 }
--- a/packages/consensus/src/state/memberState.ts
+++ b/packages/consensus/src/state/memberState.ts
@@ -1,53 +1,61 @@
 import type { Address } from '@pewterlanding/model';
 import type { Clock } from '@pewterlanding/runtime';
 import { SerialQueue } from '@pewterlanding/runtime';
-import type { Entry } from '../log/entry.js';
-import type { EntryLog } from '../log/entryLog.js';
-import type { Identity } from '../group/identity.js';
-import { MissingEntryError } from './missingEntryError.js';
+import type { GroupMember, Identity } from '../group/index.js';
+import { DeduplicationTable, tailStart } from '../log/index.js';
+import type { Entry, EntryLog, ShardFile } from '../log/index.js';
+import type { Snapshot } from '../snapshot/index.js';
 import type { MemberOptions } from './memberOptions.js';
-import type { ShardFile } from '../log/shardFile.js';
-import { DeduplicationTable } from '../log/deduplicationTable.js';
-import type { GroupMember } from '../group/groupMember.js';
-import { tailStart } from '../log/tailStart.js';
+import { MissingEntryError } from './missingEntryError.js';
 
-const rememberedCommands = 4096;
+/** How many commands are deduplicated by their ids where the state machine does not say. */
+const defaultRememberedCommands = 4096;
+/** The file is rewritten again once it is so many times as long as after the last rewrite. */
 const rewriteRatio = 2;
-/** Of the bound of the file, this much of the log stays behind a snapshot: a member that was away for a moment follows by entries. */
+/** How much of the log is kept behind a snapshot, as a part of `compactBytes`: a follower that lags a little needs no snapshot. */
 const tailRatio = 1 / 4;
-/** For the sake of a snapshot that is being sent it may become so much longer: by the log that two compactions would take. */
+/** The limit of what is kept for a receiver of a snapshot, in `compactBytes`: the log of two compactions. */
 const pinnedRatio = 2;
 
-/** What a member holds whatever its role: vote, log, machine and file. Its rules keep what was committed. */
+/** The weight of the newest sync in the moving average. */
+const newestSyncWeight = 1 / 4;
+
+/**
+ * A member's state in any role: Raft's current term, log and commit index, the state machine and the file. Entries at or below the
+ * commit index are never truncated.
+ */
 export class MemberState<C, R> {
   readonly queue = new SerialQueue();
   readonly deduplication: DeduplicationTable;
   readonly options: MemberOptions<C, R>;
   readonly log: EntryLog;
   currentTerm: number;
-  committed: number;
+  commitIndex: number;
+  /** The leader as far as it is known. */
   leader: Identity | undefined;
+  /** When the election timeout was last reset: by a leader's call, a vote, or the end of the own leadership. */
   heardMs: number;
-  /** True until this member hears of a leader or votes another a term: since its start it knows of nobody to disturb. */
+  /** True until this member hears from a leader or votes: it has known no leader since its start. */
   recentlyStarted = true;
-  /** A moving average of how long a sync takes here. */
+  /** How long a sync takes here, as a moving average. */
   syncMs = 0;
+  /** When the sync in progress began. */
   syncingSinceMs: number | undefined;
-  /** On a leader that is sending a snapshot: its index. The entries after it stay. */
+  /** The index of a snapshot that this member sends as leader; the entries after it are kept for its receiver. */
   pinnedIndex: () => number | undefined = () => undefined;
   readonly #file: ShardFile;
-  /** The log is on the disk up to here. */
-  #synced: number;
+  /** The log is on the disk up to this index. */
+  #syncedIndex: number;
   #rewrittenBytes = 0;
 
   constructor(options: MemberOptions<C, R>, file: ShardFile, currentTerm: number, log: EntryLog) {
     this.options = options;
-    this.deduplication = new DeduplicationTable(options.stateMachine.rememberedCommands ?? rememberedCommands);
+    this.deduplication = new DeduplicationTable(options.stateMachine.rememberedCommands ?? defaultRememberedCommands);
     this.#file = file;
     this.currentTerm = currentTerm;
     this.log = log;
-    this.committed = log.snapshot.index;
-    this.#synced = log.lastIndex;
+    this.commitIndex = log.snapshot.index;
+    this.#syncedIndex = log.lastIndex;
     this.heardMs = options.clock.nowMs();
     options.stateMachine.restore(log.snapshot.stateMachine);
     this.deduplication.restore(log.snapshot.deduplication);
@@ -69,11 +77,12 @@
     return this.group().filter((groupMember) => groupMember.isVoter);
   }
 
-  /** This member's place in the order of the group, or -1 without a vote. */
+  /** This member's position among the voters, in the group's order; -1 where it has no vote. */
   position(): number {
     return this.voters().findIndex((groupMember) => groupMember.identity.memberId === this.self.memberId);
   }
 
+  /** How many voters are a majority. */
   majority(): number {
     return Math.floor(this.voters().length / 2) + 1;
   }
@@ -82,42 +91,43 @@
     return this.leader?.address;
   }
 
-  /** Syncs a vote. In the queue only. */
+  /** Moves to a term and syncs that it was voted for. To be called in the queue only. Rejects where the disk fails. */
   async vote(term: number): Promise<void> {
     this.currentTerm = term;
-    // A term that ended may have left records that are not synced yet. Whoever votes shows its log to others, and
-    // records that fit are not written again: they must be on the disk first.
-    if (this.#synced < this.log.lastIndex) await this.persist(this.#synced, this.log.after(this.#synced, Number.MAX_SAFE_INTEGER));
-    await this.#timed(() => this.#file.vote(term));
+    // A leadership that ended may have left entries that are not synced yet. A vote reports the log to the candidate, and entries that
+    // match are not written again, so they have to be on the disk first.
+    if (this.#syncedIndex < this.log.lastIndex)
+      await this.persist(this.#syncedIndex, this.log.after(this.#syncedIndex, Number.MAX_SAFE_INTEGER));
+    await this.#timeSync(() => this.#file.vote(term));
   }
 
-  /** Syncs entries that stand behind `index`. In the queue only. */
+  /** Syncs the entries that follow `index`. To be called in the queue only. Rejects where the disk fails. */
   async persist(index: number, entries: readonly Entry[]): Promise<void> {
-    await this.#timed(() => this.#file.entries(this.currentTerm, index, entries));
-    this.#synced = index + entries.length;
+    await this.#timeSync(() => this.#file.entries(this.currentTerm, index, entries));
+    this.#syncedIndex = index + entries.length;
   }
 
-  /** Applies all up to `index`, telling each return. */
-  commitTo(index: number, told: (index: number, entry: Entry, result: R | undefined) => void = () => undefined): void {
-    const before = this.committed;
-    while (this.committed < Math.min(index, this.log.lastIndex)) {
-      const position = this.committed + 1;
-      const entry = this.log.at(position);
-      if (entry === undefined) throw new MissingEntryError(this.options.shard, position);
-      this.committed = position;
-      told(position, entry, this.#apply(entry));
+  /** Commits and applies all entries up to `index`, calling `onApplied` with each result. Throws MissingEntryError. */
+  commitTo(index: number, onApplied: (index: number, result: R | undefined) => void = () => undefined): void {
+    const before = this.commitIndex;
+    while (this.commitIndex < Math.min(index, this.log.lastIndex)) {
+      const next = this.commitIndex + 1;
+      const entry = this.log.at(next);
+      if (entry === undefined) throw new MissingEntryError(this.options.shard, next);
+      this.commitIndex = next;
+      onApplied(next, this.#apply(entry));
     }
-    if (this.committed > before) this.options.applied?.();
+    if (this.commitIndex > before) this.options.applied?.();
   }
 
-  /** Makes the file short again when it grew past its bound. In the queue only. */
+  /** Compacts the log and rewrites the file when it has grown past its bound. To be called in the queue only. */
   async compactIfLong(): Promise<void> {
-    // A state longer than the bound must not be written whole at each record: the file has to double first.
+    // Where the state alone is longer than the bound, the file has to double first, or each append would rewrite it whole.
     if (this.#file.lengthBytes < Math.max(this.options.bounds.compactBytes, this.#rewrittenBytes * rewriteRatio)) return;
-    const index = this.committed;
-    const groupRecord = this.log.groupRecord();
-    // Only a group record that is committed may sink into the snapshot.
-    const group = groupRecord !== undefined && groupRecord.index > index ? undefined : this.group();
+    const index = this.commitIndex;
+    const groupEntry = this.log.groupEntry();
+    // A group entry that is not committed must not become part of the snapshot.
+    const group = groupEntry !== undefined && groupEntry.index > index ? undefined : this.group();
     if (group === undefined) return;
     const { compactBytes } = this.options.bounds;
     const bounds = { tailBytes: compactBytes * tailRatio, pinnedIndex: this.pinnedIndex(), pinnedBytes: compactBytes * pinnedRatio };
@@ -129,16 +139,19 @@
       deduplication: this.deduplication.all(),
     };
     this.log.compact(snapshot, tailStart(this.log, index, bounds));
-    await this.#timed(() => this.#file.rewrite(this.currentTerm, this.log));
+    await this.#timeSync(() => this.#file.rewrite(this.currentTerm, this.log));
     this.#rewrittenBytes = this.#file.lengthBytes;
     this.options.counters.add('consensus.rewritten');
   }
 
-  /** Takes the place of all that was held. One that the state machine can't read changes nothing. In the queue only. */
-  async restoreSnapshot(snapshot: EntryLog['snapshot']): Promise<boolean> {
+  /**
+   * Replaces log and state by a snapshot; false, and nothing changes, where the state machine cannot read it. To be called in the queue
+   * only.
+   */
+  async restoreSnapshot(snapshot: Snapshot): Promise<boolean> {
     const { stateMachine, counters, applied } = this.options;
     if (this.log.termAt(snapshot.index) === snapshot.term) {
-      // The log holds all of it, and perhaps more that a leader counts on.
+      // The log holds all of it, and perhaps more, which a leader may have counted for a majority.
       this.commitTo(snapshot.index);
       return true;
     }
@@ -150,10 +163,10 @@
       return false;
     }
     this.log.restart(snapshot);
-    this.committed = snapshot.index;
-    this.#synced = snapshot.index;
+    this.commitIndex = snapshot.index;
+    this.#syncedIndex = snapshot.index;
     this.deduplication.restore(snapshot.deduplication);
-    await this.#timed(() => this.#file.rewrite(this.currentTerm, this.log));
+    await this.#timeSync(() => this.#file.rewrite(this.currentTerm, this.log));
     this.#rewrittenBytes = this.#file.lengthBytes;
     counters.add('consensus.snapshotTaken');
     applied?.();
@@ -163,14 +176,14 @@
   #apply(entry: Entry): R | undefined {
     if (entry.payload.kind !== 'command') return undefined;
     const { id, command } = entry.payload;
-    // A command sent twice has one effect and one return.
+    // A command that was sent again has no second effect and returns the first result.
     if (this.deduplication.has(id)) return this.options.stateMachine.readReturn(this.deduplication.get(id));
     const result = this.options.stateMachine.apply(this.options.stateMachine.read(command));
     this.deduplication.put(id, result);
     return result;
   }
 
-  async #timed(write: () => Promise<void>): Promise<void> {
+  async #timeSync(write: () => Promise<void>): Promise<void> {
     const startMs = this.clock.nowMs();
     this.syncingSinceMs = startMs;
     try {
@@ -181,6 +194,6 @@
     } finally {
       this.syncingSinceMs = undefined;
     }
-    this.syncMs = this.syncMs * 0.75 + (this.clock.nowMs() - startMs) * 0.25;
+    this.syncMs = this.syncMs * (1 - newestSyncWeight) + (this.clock.nowMs() - startMs) * newestSyncWeight;
   }
 }
--- a/packages/consensus/src/shard/shardEnvironment.ts
+++ b/packages/consensus/src/state/shardEnvironment.ts
@@ -1,7 +1,7 @@
 import type { Clock, Counters, Disk, Log, Transport } from '@pewterlanding/runtime';
-import type { ConsensusBounds } from '../state/consensusBounds.js';
+import type { ConsensusBounds } from './consensusBounds.js';
 
-/** What keeping shards stands on. Time, network and disk come from outside. */
+/** The clock, network, disk and sinks that shards run on; passed in, so that they can be simulated. */
 export interface ShardEnvironment {
   readonly clock: Clock;
   readonly transport: Transport;
@@ -9,6 +9,6 @@
   readonly bounds: ConsensusBounds;
   readonly counters: Counters;
   readonly log: Log;
-  /** A sync that failed leaves nothing to rely on: the process must end. */
+  /** Called when a sync fails. What is on the disk is unknown then, so the process has to end. */
   readonly fatal: (error: unknown) => void;
 }
--- a/testing/simulator/src/model/modelMutations.ts
+++ b/testing/simulator/src/model/modelMutations.ts
@@ -17,25 +17,25 @@
     name: 'openingRecordFirst',
     edits: [
       {
-        file: `${consensus}/election/leadership.js`,
-        text: 'return !this.#over && this.#state.committed >= this.#openIndex;',
-        instead: 'return !this.#over;',
+        file: `${consensus}/replication/leadership.js`,
+        text: 'return !this.#hasEnded && this.#state.commitIndex >= this.#openIndex;',
+        instead: 'return !this.#hasEnded;',
       },
     ],
   },
   {
     ...at,
     name: 'bestLogIsAdopted',
-    edits: [{ file: `${consensus}/election/election.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
+    edits: [{ file: `${consensus}/election/logAdoption.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
   },
   {
     ...at,
     name: 'oneVoteATerm',
     edits: [
       {
-        file: `${consensus}/shard/member.js`,
-        text: 'const granted = body.term > this.#state.currentTerm;',
-        instead: 'const granted = body.term >= this.#state.currentTerm;',
+        file: `${consensus}/member/requestHandler.js`,
+        text: 'const granted = request.term > this.#state.currentTerm;',
+        instead: 'const granted = request.term >= this.#state.currentTerm;',
       },
     ],
   },
--- a/testing/simulator/src/mutation/consensusMutations.ts
+++ b/testing/simulator/src/mutation/consensusMutations.ts
@@ -40,7 +40,7 @@
     rule: 'service stays below a quarter after repair',
     scenario: 'testing/simulator/dist/test/shardSnapshots.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/log/tailStart.js`, text: 'if (bytes > tailBytes && !pinned)', instead: 'if (true)' }],
+    edits: [{ file: `${consensus}/log/tailStart.js`, text: 'if (bytes > tailBytes && !isPinned)', instead: 'if (true)' }],
   },
   {
     name: 'snapshotIsPinned',
@@ -49,7 +49,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${consensus}/snapshot/snapshotSender.js`,
+        file: `${consensus}/replication/snapshotSender.js`,
         text: 'this.#transfers.get(memberId) ??',
         instead: '[this.#transfers.get(memberId)].find((one) => one?.encoded.snapshot === this.#state.log.snapshot) ??',
       },
@@ -89,13 +89,13 @@
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'testing/simulator/dist/test/shardMembership.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/shard/member.js`, text: 'if (term < this.#state.currentTerm)', instead: 'if (false)' }],
+    edits: [{ file: `${consensus}/member/requestHandler.js`, text: 'if (term < this.#state.currentTerm)', instead: 'if (false)' }],
   },
   {
     name: 'learnerThatKeepsUp',
     rule: 'service stays below a quarter after repair',
     scenario: 'testing/simulator/dist/test/shardRepair.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/shard/member.js`, text: '(behind <= 1 || keepsUp)', instead: 'behind <= 1' }],
+    edits: [{ file: `${consensus}/member/member.js`, text: '(entriesBehind <= 1 || keepsUp)', instead: 'entriesBehind <= 1' }],
   },
 ];
--- a/testing/simulator/src/mutation/controlMutations.ts
+++ b/testing/simulator/src/mutation/controlMutations.ts
@@ -70,7 +70,7 @@
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'staleMemberReturns',
     seeds: [1, 2, 3],
-    edits: [{ file: `${consensus}/election/election.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
+    edits: [{ file: `${consensus}/election/logAdoption.js`, text: 'if (best === undefined)', instead: 'if (true)' }],
   },
   {
     name: 'newIdBeforeTheDamagedFileGoes',
@@ -80,8 +80,8 @@
     edits: [
       {
         file: `${consensus}/shard/shardHost.js`,
-        text: 'await this.#mintMemberId(shard);\n            await new Journal(disk, `${shard}.shard`).rewrite([]);',
-        instead: 'await new Journal(disk, `${shard}.shard`).rewrite([]);\n            await this.#mintMemberId(shard);',
+        text: 'await this.#identities.mint(shard);\n            await new Journal(disk, fileOf(shard)).rewrite([]);',
+        instead: 'await new Journal(disk, fileOf(shard)).rewrite([]);\n            await this.#identities.mint(shard);',
       },
     ],
   },
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -147,11 +147,11 @@
     seeds: [1, 2, 3],
     ci: true,
     edits: [
-      { file: `${consensus}/shard/member.js`, text: 'await this.#state.persist(', instead: 'void this.#state.persist(' },
+      { file: `${consensus}/member/requestHandler.js`, text: 'await this.#state.persist(', instead: 'void this.#state.persist(' },
       {
-        file: `${consensus}/election/leadership.js`,
-        text: 'this.#majorityOf((follower) => follower.match, this.#synced)',
-        instead: 'this.#majorityOf((follower) => follower.match, this.#state.log.lastIndex)',
+        file: `${consensus}/replication/leadership.js`,
+        text: 'this.#majorityOf((follower) => follower.matchIndex, this.#syncedIndex)',
+        instead: 'this.#majorityOf((follower) => follower.matchIndex, this.#state.log.lastIndex)',
       },
     ],
   },
@@ -168,9 +168,9 @@
     scenario: 'ownerCutOff',
     seeds: [1, 3],
     edits: [
-      { file: `${consensus}/shard/member.js`, text: 'await this.#serving().confirmLeadership();', instead: 'this.#serving();' },
+      { file: `${consensus}/member/member.js`, text: 'await this.#role.serving().confirmLeadership();', instead: 'this.#role.serving();' },
       {
-        file: `${consensus}/shard/member.js`,
+        file: `${consensus}/member/member.js`,
         text: 'if (leadership.majorityAgeMs() > ',
         instead: 'if (false && leadership.majorityAgeMs() > ',
       },
@@ -182,7 +182,11 @@
     scenario: 'ownerDiesAfterAccept',
     seeds: [1, 2, 3],
     edits: [
-      { file: `${consensus}/shard/member.js`, text: 'missedHeartbeats && this.#isSuccessor())', instead: 'missedHeartbeats && false)' },
+      {
+        file: `${consensus}/member/leaderMonitor.js`,
+        text: 'missedHeartbeats && this.#isSuccessor())',
+        instead: 'missedHeartbeats && false)',
+      },
     ],
   },
   {
@@ -193,7 +197,7 @@
     ci: true,
     edits: [
       {
-        file: `${consensus}/shard/shardHost.js`,
+        file: `${consensus}/shard/memberIdentities.js`,
         text: 'const memberId = (this.#options.mintMemberId ?? randomUUID)();',
         instead: 'const memberId = `${this.#options.name}-${shard}`;',
       },
@@ -234,9 +238,9 @@
     scenario: 'configurationLeaderCutOff',
     seeds: [1, 2, 3],
     edits: [
-      { file: `${consensus}/shard/member.js`, text: 'await this.#serving().confirmLeadership();', instead: 'this.#serving();' },
+      { file: `${consensus}/member/member.js`, text: 'await this.#role.serving().confirmLeadership();', instead: 'this.#role.serving();' },
       {
-        file: `${consensus}/shard/member.js`,
+        file: `${consensus}/member/member.js`,
         text: 'if (leadership.majorityAgeMs() > ',
         instead: 'if (false && leadership.majorityAgeMs() > ',
       },
