--- a/packages/consensus/src/log/deduplicationTable.ts
+++ b/packages/consensus/src/log/deduplicationTable.ts
@@ -10,10 +10,12 @@
     this.#limit = limit;
   }
 
+  /** Whether the result of that command is known. */
   has(id: string): boolean {
     return this.#results.has(id);
   }
 
+  /** A command's result; undefined also where it is not known. */
   get(id: string): unknown {
     return this.#results.get(id);
   }
@@ -31,6 +33,7 @@
     return [...this.#results];
   }
 
+  /** Replaces all results, as `all` returned them. */
   restore(all: readonly (readonly [string, unknown])[]): void {
     this.#results.clear();
     for (const [id, result] of all) this.#results.set(id, result);
--- a/packages/consensus/src/log/entryLog.ts
+++ b/packages/consensus/src/log/entryLog.ts
@@ -23,6 +23,7 @@
     this.#base = { index: snapshot.index, term: snapshot.term };
   }
 
+  /** The snapshot that the log continues. */
   get snapshot(): Snapshot {
     return this.#snapshot;
   }
@@ -32,10 +33,12 @@
     return this.#base;
   }
 
+  /** The index of the last entry, or of the snapshot where there is none. */
   get lastIndex(): number {
     return this.#base.index + this.#entries.length;
   }
 
+  /** The position of the last entry, or of the snapshot where there is none. */
   get last(): Position {
     return { term: this.termAt(this.lastIndex) ?? 0, index: this.lastIndex };
   }
@@ -45,6 +48,7 @@
     return index === this.#base.index ? this.#base.term : this.at(index)?.term;
   }
 
+  /** The entry at an index; undefined where it is not kept. */
   at(index: number): Entry | undefined {
     return index <= this.#base.index ? undefined : this.#entries[index - this.#base.index - 1];
   }
--- a/packages/consensus/src/log/shardFile.ts
+++ b/packages/consensus/src/log/shardFile.ts
@@ -53,6 +53,7 @@
     this.#shard = shard;
   }
 
+  /** The file's length, once it is open. */
   get lengthBytes(): number {
     return this.#journal.lengthBytes;
   }
--- a/packages/consensus/src/member/leaderMonitor.ts
+++ b/packages/consensus/src/member/leaderMonitor.ts
@@ -34,7 +34,7 @@
     const { failureTimeoutMs } = options.bounds;
     const position = this.#state.position();
     const sinceMs = clock.nowMs() - heardMs;
-    // After a failure timeout checkLeader does.
+    // After a failure timeout, checkLeader takes over.
     if (!this.#state.recentlyStarted || this.#role.isLeaving || this.#role.isClosed || position < 0 || sinceMs > failureTimeoutMs) return;
     const checkMs = failureTimeoutMs / restartChecksPerTimeout;
     if (sinceMs >= checkMs * restartChecksPerPosition * position) this.#election.runAfterRestart(checkMs * restartChecksPerPosition);
--- a/packages/consensus/src/member/member.ts
+++ b/packages/consensus/src/member/member.ts
@@ -59,14 +59,17 @@
     return read.damaged ? 'damaged' : new Member(new MemberState(options, file, read.currentTerm, read.log));
   }
 
+  /** The shard's name. */
   get shard(): string {
     return this.#state.options.shard;
   }
 
+  /** This member's identity. */
   get self(): Identity {
     return this.#state.self;
   }
 
+  /** The current term. */
   get term(): number {
     return this.#state.currentTerm;
   }
@@ -172,34 +175,39 @@
     }
   }
 
+  /** Stops at once: steps down and does nothing more on its own. */
   close(): void {
     this.#role.isClosed = true;
     this.#stopTicks();
     this.#role.stepDown('closed');
   }
 
-  // The calls of other members; see RequestHandler.
-
+  /** Answers whether the leader is unreachable. This and the next five are calls of other members; see RequestHandler. */
   preVote(request: Parameters<Requests['preVote']>[0]): Response<'preVote'> {
     return this.#requests.preVote(request);
   }
 
+  /** Votes in an election. */
   vote(request: Parameters<Requests['vote']>[0]): Response<'vote'> {
     return this.#requests.vote(request);
   }
 
+  /** Takes entries from a leader. */
   append(request: Parameters<Requests['append']>[0]): Response<'append'> {
     return this.#requests.append(request);
   }
 
+  /** Takes a chunk of a snapshot from a leader. */
   installSnapshot(request: Parameters<Requests['installSnapshot']>[0]): Response<'installSnapshot'> {
     return this.#requests.installSnapshot(request);
   }
 
+  /** Returns entries to a candidate. */
   fetch(request: Parameters<Requests['fetch']>[0]): Response<'fetch'> {
     return this.#requests.fetch(request);
   }
 
+  /** Stands for election at the leader's request. */
   transfer(request: Parameters<Requests['transfer']>[0]): Response<'transfer'> {
     return this.#requests.transfer(request);
   }
--- a/packages/consensus/src/protocol/leaderFinder.ts
+++ b/packages/consensus/src/protocol/leaderFinder.ts
@@ -67,12 +67,8 @@
           : await transport
               .ask(to, call, body, Math.min(tryMs + extraMs, leftMs))
               .catch((error: unknown) => rethrowUnlessRetriable(error, attempts));
-      if (to !== undefined && response === undefined) this.#unansweredMs.set(to, clock.nowMs());
-      if (to !== undefined && response !== undefined) this.#unansweredMs.delete(to);
-      if (response?.served === true) {
-        if (to !== undefined) this.#leaders.set(shard, to);
-        return response.value;
-      }
+      if (to !== undefined) this.#record(shard, to, response);
+      if (response?.served === true) return response.value;
       this.#leaders.delete(shard);
       // A hint is followed at once, but only twice in a row, since two members may name each other.
       if (response !== undefined && response.leader !== undefined && response.leader !== to && hints < maxHints) {
@@ -87,6 +83,13 @@
     }
   }
 
+  /** Notes who answered and who leads. */
+  #record(shard: string, to: Address, response: LeaderReply<unknown> | undefined): void {
+    if (response === undefined) this.#unansweredMs.set(to, this.#options.clock.nowMs());
+    else this.#unansweredMs.delete(to);
+    if (response?.served === true) this.#leaders.set(shard, to);
+  }
+
   /**
    * The members in the order in which they are tried: those that left an attempt unanswered most recently come last. Calls whose whole
    * wait is shorter than an attempt would otherwise all end at the same failed member, while the others know the leader.
--- a/packages/consensus/src/reconfiguration/groupReconciler.ts
+++ b/packages/consensus/src/reconfiguration/groupReconciler.ts
@@ -45,6 +45,7 @@
     this.#stop = every(options.clock, options.failureTimeoutMs, () => this.step());
   }
 
+  /** Makes no further change. */
   close(): void {
     this.#isClosed = true;
     this.#stop();
--- a/packages/consensus/src/replication/follower.ts
+++ b/packages/consensus/src/replication/follower.ts
@@ -38,10 +38,12 @@
     this.steadySinceMs = nowMs;
   }
 
+  /** An append was answered: batches may be long again. */
   recordSuccess(): void {
     this.maxBatchEntries = maxEntries;
   }
 
+  /** A call failed: the next batch is half as long. */
   recordFailure(): void {
     this.maxBatchEntries = Math.max(1, this.maxBatchEntries >> 1);
   }
--- a/packages/consensus/src/replication/leadership.ts
+++ b/packages/consensus/src/replication/leadership.ts
@@ -67,10 +67,12 @@
     return !this.#hasEnded && this.#state.commitIndex >= this.#openIndex;
   }
 
+  /** The index of the last entry in the leader's log. */
   get lastIndex(): number {
     return this.#state.log.lastIndex;
   }
 
+  /** The other members of the newest group. */
   followers(): readonly Follower[] {
     return [...this.#followers.values()];
   }
--- a/packages/consensus/src/replication/leadershipConfirmations.ts
+++ b/packages/consensus/src/replication/leadershipConfirmations.ts
@@ -44,6 +44,7 @@
     for (const pending of confirmed) pending.resolve();
   }
 
+  /** Rejects all that wait, each with an error of its own. */
   rejectAll(error: () => Error): void {
     for (const pending of this.#pending) pending.reject(error());
     this.#pending = [];
--- a/packages/consensus/src/replication/logReplicator.ts
+++ b/packages/consensus/src/replication/logReplicator.ts
@@ -1,9 +1,13 @@
+import type * as v from 'valibot';
 import { TransportError } from '@pewterlanding/runtime';
+import type { Entry } from '../log/index.js';
 import { consensusCalls } from '../protocol/index.js';
 import type { MemberState } from '../state/index.js';
 import type { Follower } from './follower.js';
 import type { SnapshotSender } from './snapshotSender.js';
 
+type AppendRequest = v.InferOutput<typeof consensusCalls.append.body>;
+
 interface LogReplicatorOptions<C, R> {
   readonly state: MemberState<C, R>;
   readonly term: number;
@@ -63,7 +67,7 @@
 
   /** Sends one batch; true when there is more to send at once. */
   async #send(follower: Follower): Promise<boolean> {
-    const { state, term, snapshots, onMatch, onRoundAnswered } = this.#options;
+    const { state, snapshots, onMatch, onRoundAnswered } = this.#options;
     const { options, log } = state;
     const round = this.#options.round();
     if (follower.nextIndex <= log.base.index || snapshots.isSendingTo(follower)) return this.#sendSnapshot(follower);
@@ -73,16 +77,7 @@
     const reply = await options.transport.ask(
       follower.groupMember.identity.address,
       consensusCalls.append,
-      {
-        shard: options.shard,
-        memberId: follower.groupMember.identity.memberId,
-        from: options.self.name,
-        term,
-        leader: options.self,
-        previous: { index: previousIndex, term: log.termAt(previousIndex) ?? 0 },
-        entries: [...entries],
-        commit: state.commitIndex,
-      },
+      this.#request(follower, previousIndex, entries),
       options.bounds.failureTimeoutMs * appendTimeouts,
     );
     if (!this.#acceptReply(follower, reply.term)) return false;
@@ -104,6 +99,21 @@
     return follower.nextIndex <= log.lastIndex;
   }
 
+  #request(follower: Follower, previousIndex: number, entries: readonly Entry[]): AppendRequest {
+    const { state, term } = this.#options;
+    const { options, log } = state;
+    return {
+      shard: options.shard,
+      memberId: follower.groupMember.identity.memberId,
+      from: options.self.name,
+      term,
+      leader: options.self,
+      previous: { index: previousIndex, term: log.termAt(previousIndex) ?? 0 },
+      entries: [...entries],
+      commit: state.commitIndex,
+    };
+  }
+
   async #sendSnapshot(follower: Follower): Promise<boolean> {
     const { term, installedIndex, hasMore } = await this.#options.snapshots.sendChunk(follower);
     if (!this.#acceptReply(follower, term)) return false;
--- a/packages/consensus/src/replication/snapshotSender.ts
+++ b/packages/consensus/src/replication/snapshotSender.ts
@@ -1,5 +1,6 @@
 import { createHash } from 'node:crypto';
 import { Encoder } from 'cbor-x';
+import type * as v from 'valibot';
 import { consensusCalls } from '../protocol/index.js';
 import type { Snapshot } from '../snapshot/index.js';
 import type { MemberState } from '../state/index.js';
@@ -10,6 +11,8 @@
 /** The wait for a chunk's reply in failure timeouts: the last one is answered only after the receiver's sync. */
 const chunkTimeouts = 4;
 
+type InstallSnapshotResponse = v.InferOutput<typeof consensusCalls.installSnapshot.response>;
+
 interface EncodedSnapshot {
   readonly snapshot: Snapshot;
   readonly bytes: Uint8Array;
@@ -62,6 +65,7 @@
     for (const memberId of this.#transfers.keys()) if (!memberIds.has(memberId)) this.#transfers.delete(memberId);
   }
 
+  /** Drops all transfers and their pins. */
   end(): void {
     this.#transfers.clear();
   }
@@ -74,39 +78,40 @@
     this.#transfers.set(memberId, transfer);
     const { encoded, offset } = transfer;
     const { snapshot, bytes, checksum } = encoded;
-    const reply = await options.transport.ask(
-      address,
-      consensusCalls.installSnapshot,
-      {
-        shard: options.shard,
-        memberId,
-        from: options.self.name,
-        term: this.#term,
-        leader: options.self,
-        index: snapshot.index,
-        snapshotTerm: snapshot.term,
-        lengthBytes: bytes.length,
-        checksum,
-        offset,
-        bytes: bytes.slice(offset, offset + chunkBytes),
-      },
-      options.bounds.failureTimeoutMs * chunkTimeouts,
-    );
+    const request = {
+      shard: options.shard,
+      memberId,
+      from: options.self.name,
+      term: this.#term,
+      leader: options.self,
+      index: snapshot.index,
+      snapshotTerm: snapshot.term,
+      lengthBytes: bytes.length,
+      checksum,
+      offset,
+      bytes: bytes.slice(offset, offset + chunkBytes),
+    };
+    const timeoutMs = options.bounds.failureTimeoutMs * chunkTimeouts;
+    return this.#apply(memberId, transfer, await options.transport.ask(address, consensusCalls.installSnapshot, request, timeoutMs));
+  }
+
+  #apply(memberId: string, transfer: Transfer, reply: InstallSnapshotResponse): ChunkResult {
+    const { counters } = this.#state.options;
+    const { encoded, offset } = transfer;
     if (reply.outcome === 'taken') {
       this.#transfers.delete(memberId);
-      options.counters.add('consensus.snapshotSent');
-      return { term: reply.term, installedIndex: snapshot.index, hasMore: true };
+      counters.add('consensus.snapshotSent');
+      return { term: reply.term, installedIndex: encoded.snapshot.index, hasMore: true };
     }
     if (reply.outcome === 'refused') {
       // The next heartbeat starts again with the current snapshot.
       this.#transfers.delete(memberId);
-      options.counters.add('consensus.snapshotNotTaken');
+      counters.add('consensus.snapshotNotTaken');
       return { term: reply.term, installedIndex: undefined, hasMore: false };
     }
-    const hasMoved = reply.held !== offset;
-    if (reply.held !== offset + chunkBytes) options.counters.add('consensus.snapshotResumed');
-    transfer.offset = Math.min(reply.held, bytes.length);
-    return { term: reply.term, installedIndex: undefined, hasMore: hasMoved };
+    if (reply.held !== offset + chunkBytes) counters.add('consensus.snapshotResumed');
+    transfer.offset = Math.min(reply.held, encoded.bytes.length);
+    return { term: reply.term, installedIndex: undefined, hasMore: reply.held !== offset };
   }
 
   #encode(): EncodedSnapshot {
--- a/packages/consensus/src/shard/shardHost.ts
+++ b/packages/consensus/src/shard/shardHost.ts
@@ -125,6 +125,7 @@
     await this.#options.disk.remove(fileOf(shard));
   }
 
+  /** Closes all members. */
   close(): void {
     for (const member of this.#members.values()) member.close();
   }
--- a/packages/consensus/src/shard/shardSet.ts
+++ b/packages/consensus/src/shard/shardSet.ts
@@ -86,7 +86,7 @@
     this.#eachReconciler((reconciler) => reconciler.meet(address));
   }
 
-  /** Runs on a shard that is open here; rejects with NotLeaderError where it is not. The member's own calls reject where it does not lead. */
+  /** Runs on a shard that is open here; rejects with NotLeaderError where it is not, and as its member's calls do. */
   async asLeader<T>(shard: string, run: (hosted: HostedShard<C, R, M>) => Promise<T>): Promise<T> {
     const hosted = this.#hosted.get(shard);
     if (hosted === undefined) throw new NotLeaderError(undefined);
@@ -111,6 +111,7 @@
     await Promise.all([...this.#hosted.values()].map(async (hosted) => (await hosted).member.leave(patienceMs)));
   }
 
+  /** Opens, drops and reconciles nothing any more; members are closed by the host. */
   close(): void {
     this.#closed = true;
     this.#stop();
--- a/packages/consensus/src/state/memberState.ts
+++ b/packages/consensus/src/state/memberState.ts
@@ -61,18 +61,22 @@
     this.deduplication.restore(log.snapshot.deduplication);
   }
 
+  /** The clock that all timing of the member uses. */
   get clock(): Clock {
     return this.options.clock;
   }
 
+  /** This member's identity. */
   get self(): Identity {
     return this.options.self;
   }
 
+  /** The newest group in the log, committed or not. */
   group(): readonly GroupMember[] {
     return this.log.group();
   }
 
+  /** The voters of the newest group, the preferred leader first. */
   voters(): readonly GroupMember[] {
     return this.group().filter((groupMember) => groupMember.isVoter);
   }
@@ -87,6 +91,7 @@
     return Math.floor(this.voters().length / 2) + 1;
   }
 
+  /** The leader's address as far as it is known. */
   leaderAddress(): Address | undefined {
     return this.leader?.address;
   }
--- a/packages/consensus/test/shardFile.test.ts
+++ b/packages/consensus/test/log/shardFile.test.ts
@@ -3,10 +3,10 @@
 import * as v from 'valibot';
 import { Journal } from '@pewterlanding/runtime';
 import type { Disk } from '@pewterlanding/runtime';
-import type { Entry } from '../src/log/entry.js';
-import { ShardFile } from '../src/log/shardFile.js';
-import { UnsupportedFormatError } from '../src/log/unsupportedFormatError.js';
-import { GroupMember } from '../src/group/groupMember.js';
+import type { Entry } from '../../src/log/entry.js';
+import { ShardFile } from '../../src/log/shardFile.js';
+import { UnsupportedFormatError } from '../../src/log/unsupportedFormatError.js';
+import { GroupMember } from '../../src/group/groupMember.js';
 
 function memoryDisk(): Disk {
   const files = new Map<string, Uint8Array>();
--- a/packages/membership/src/broadcast/updateBatcher.ts
+++ b/packages/membership/src/broadcast/updateBatcher.ts
@@ -30,6 +30,7 @@
     this.#options = options;
   }
 
+  /** Adds updates; they are sent at once where nothing was sent lately. */
   add(updates: readonly BatchedUpdate[]): void {
     this.#pending.push(...updates);
     const { clock, lastingMs } = this.#options;
@@ -56,6 +57,7 @@
     );
   }
 
+  /** Drops what waits. */
   close(): void {
     this.#cancel?.();
   }
--- a/packages/membership/src/node/membership.ts
+++ b/packages/membership/src/node/membership.ts
@@ -65,6 +65,7 @@
     this.#join();
   }
 
+  /** This node's name. */
   get name(): NodeName {
     return this.#options.nodeRecord.name;
   }
@@ -135,6 +136,7 @@
     this.close();
   }
 
+  /** Stops at once, without an announcement. */
   close(): void {
     for (const stop of this.#stops) stop();
     this.#batcher.close();
--- a/packages/membership/src/node/nodeDirectory.ts
+++ b/packages/membership/src/node/nodeDirectory.ts
@@ -36,10 +36,12 @@
     return [...this.#nodeRecords.values()];
   }
 
+  /** The ring of the live nodes. */
   get ring(): Ring<NodeName> {
     return this.#ring;
   }
 
+  /** This node's position in the relay tree of the live nodes. */
   get broadcaster(): Broadcaster {
     return this.#broadcaster;
   }
--- a/packages/membership/src/node/selfRecord.ts
+++ b/packages/membership/src/node/selfRecord.ts
@@ -14,10 +14,12 @@
     this.#version = [incarnation, 0];
   }
 
+  /** This node's name. */
   get name(): NodeName {
     return this.#record.name;
   }
 
+  /** The update that publishes the record. */
   update(): Update {
     return { key: nodeKeyPrefix + this.name, version: this.#version, volatile: false, value: { ...this.#record, state: this.#state } };
   }
@@ -38,6 +40,7 @@
     this.#version = version;
   }
 
+  /** Marks the node as having left, under the next version. */
   markLeft(): void {
     this.#state = 'left';
     this.#version = [this.#version[0], this.#version[1] + 1];
--- a/packages/membership/src/state-table/stateTable.ts
+++ b/packages/membership/src/state-table/stateTable.ts
@@ -35,6 +35,7 @@
     return this.#digest;
   }
 
+  /** The newest update of a key. */
   get(key: string): Update | undefined {
     return this.#rows.get(key)?.update;
   }
--- a/packages/membership/test/broadcaster.test.ts
+++ b/packages/membership/test/broadcast/broadcaster.test.ts
@@ -2,9 +2,9 @@
 import { expect } from 'earl';
 import * as v from 'valibot';
 import { Address, NodeName, ZoneName } from '@pewterlanding/model';
-import { NodePlaces } from '../src/index.js';
-import type { NodeRecord, Update } from '../src/index.js';
-import { Broadcaster } from '../src/broadcast/broadcaster.js';
+import { NodePlaces } from '../../src/index.js';
+import type { NodeRecord, Update } from '../../src/index.js';
+import { Broadcaster } from '../../src/broadcast/broadcaster.js';
 
 const live: readonly NodeRecord[] = Array.from({ length: 12 }, (_, at) => ({
   name: v.parse(NodeName, `n${at}`),
--- a/packages/membership/test/updateBatcher.test.ts
+++ b/packages/membership/test/broadcast/updateBatcher.test.ts
@@ -2,8 +2,8 @@
 import { expect } from 'earl';
 import * as v from 'valibot';
 import { NodeName } from '@pewterlanding/model';
-import { UpdateBatcher } from '../src/index.js';
-import type { Update } from '../src/index.js';
+import { UpdateBatcher } from '../../src/index.js';
+import type { Update } from '../../src/index.js';
 
 const from = v.parse(NodeName, 'n1');
 const lastingMs = 10;
--- a/packages/membership/test/failureDetector.test.ts
+++ b/packages/membership/test/failure-detector/failureDetector.test.ts
@@ -4,9 +4,9 @@
 import { Address, NodeName, ZoneName } from '@pewterlanding/model';
 import type { Address as At } from '@pewterlanding/model';
 import type { Transport } from '@pewterlanding/runtime';
-import { membershipCalls } from '../src/index.js';
-import type { NodeRecord } from '../src/index.js';
-import { FailureDetector } from '../src/failure-detector/failureDetector.js';
+import { membershipCalls } from '../../src/index.js';
+import type { NodeRecord } from '../../src/index.js';
+import { FailureDetector } from '../../src/failure-detector/failureDetector.js';
 
 const failureTimeoutMs = 400;
 const bounds = { heartbeatMs: 100, failureTimeoutMs, watchers: 3 };
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/node/membership.test.ts
@@ -4,7 +4,7 @@
 import { Address, NodeName, ZoneName } from '@pewterlanding/model';
 import { Counters, quietLog } from '@pewterlanding/runtime';
 import type { Call, Clock, Transport } from '@pewterlanding/runtime';
-import { Membership } from '../src/index.js';
+import { Membership } from '../../src/index.js';
 
 const heartbeatMs = 100;
 
--- a/packages/membership/test/stateTable.test.ts
+++ b/packages/membership/test/state-table/stateTable.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { mergePatchBetween, mergePatch } from '@pewterlanding/model';
-import { StateTable } from '../src/index.js';
-import type { Update } from '../src/index.js';
+import { StateTable } from '../../src/index.js';
+import type { Update } from '../../src/index.js';
 
 const whole = (version: number, value: unknown): Update => ({ key: 'setup', version: [version, 0], volatile: false, value });
 const before = { bounds: { cap: 1, wait: 2 }, services: { a: { slots: [1, 2] }, b: {} }, gone: true };
