--- a/programs/proxy/src/batch-runner/batchRunner.ts
+++ b/programs/proxy/src/batch-runner/batchRunner.ts
@@ -6,14 +6,14 @@
 import type { Clock, Counters } from '@pewterlanding/runtime';
 import { leaseKey } from '@pewterlanding/store';
 import type { ReplicaSelector } from '../selection/replicaSelector.js';
-import type { HeaderNames } from '../forwarding/headerNames.js';
+import type { HeaderNames } from '../headers/headerNames.js';
 import { ItemRunner } from './itemRunner.js';
 import type { ItemTransport } from './itemTransport.js';
 import { LeaseCalls } from './leaseCalls.js';
 import type { RoutingState } from '../updates/routingState.js';
-import type { ReplicaTransport } from '../forwarding/replicaTransport.js';
+import type { ReplicaTransport } from '../connections/replicaTransport.js';
 import type { SlotPool } from '../selection/slotPool.js';
-import type { RunEnd } from '../forwarding/runEnd.js';
+import type { RunEnd } from '../connections/runEnd.js';
 
 interface BatchRunnerOptions {
   readonly front: NodeName;
--- a/programs/proxy/src/batch-runner/itemRunner.ts
+++ b/programs/proxy/src/batch-runner/itemRunner.ts
@@ -4,7 +4,7 @@
 import type { Clock, Counters } from '@pewterlanding/runtime';
 import type { ItemTask } from '@pewterlanding/store';
 import { EventText } from '../streaming/eventText.js';
-import type { HeaderNames } from '../forwarding/headerNames.js';
+import type { HeaderNames } from '../headers/headerNames.js';
 import type { ItemEnd } from './itemEnd.js';
 import type { ItemTransport } from './itemTransport.js';
 import type { LeaseCalls } from './leaseCalls.js';
--- a/programs/proxy/src/batch-runner/pooledItemTransport.ts
+++ b/programs/proxy/src/batch-runner/pooledItemTransport.ts
@@ -1,8 +1,8 @@
 import { createParser } from 'eventsource-parser';
 import type { Clock } from '@pewterlanding/runtime';
 import type { ConnectionPool } from '../connections/connectionPool.js';
-import { headerOf } from '../connections/headerOf.js';
-import type { HeaderNames } from '../forwarding/headerNames.js';
+import { headerOf } from '../headers/headerOf.js';
+import type { HeaderNames } from '../headers/headerNames.js';
 import type { ItemAttempt } from './itemAttempt.js';
 import type { ItemEnd } from './itemEnd.js';
 import type { ItemTransport } from './itemTransport.js';
--- a/programs/proxy/src/connections/connectionPool.ts
+++ b/programs/proxy/src/connections/connectionPool.ts
@@ -1,7 +1,7 @@
 import { Client, errors } from 'undici';
 import type { buildConnector, Dispatcher } from 'undici';
 import type { Address } from '@pewterlanding/model';
-import { headerOf } from './headerOf.js';
+import { headerOf } from '../headers/headerOf.js';
 
 interface ConnectionPoolOptions {
   readonly connectMs: number;
--- a/programs/proxy/src/forwarding/forwarder.ts
+++ b/programs/proxy/src/forwarding/forwarder.ts
@@ -5,11 +5,11 @@
 import type { Cost } from '@pewterlanding/rate-limit';
 import type { LiveTask } from './liveTask.js';
 import type { RoutingState } from '../updates/routingState.js';
-import type { ReplicaTask } from './replicaTask.js';
-import type { ReplicaTransport } from './replicaTransport.js';
+import type { ReplicaTask } from '../connections/replicaTask.js';
+import type { ReplicaTransport } from '../connections/replicaTransport.js';
 import { RetryBudget } from '../selection/retryBudget.js';
 import type { SlotPool } from '../selection/slotPool.js';
-import type { RunEnd } from './runEnd.js';
+import type { RunEnd } from '../connections/runEnd.js';
 import type { LocalQuota } from '../quota/localQuota.js';
 import type { TaskReturn } from './taskReturn.js';
 
--- a/programs/proxy/src/forwarding/httpReplicaTransport.ts
+++ b/programs/proxy/src/forwarding/httpReplicaTransport.ts
@@ -1,10 +1,10 @@
 import type { Clock } from '@pewterlanding/runtime';
 import { ConnectionPool } from '../connections/connectionPool.js';
-import { headerOf } from '../connections/headerOf.js';
-import { defaultHeaderNames } from './defaultHeaderNames.js';
-import type { ReplicaTask } from './replicaTask.js';
-import type { ReplicaTransport } from './replicaTransport.js';
-import type { RunEnd } from './runEnd.js';
+import { headerOf } from '../headers/headerOf.js';
+import { defaultHeaderNames } from '../headers/defaultHeaderNames.js';
+import type { ReplicaTask } from '../connections/replicaTask.js';
+import type { ReplicaTransport } from '../connections/replicaTransport.js';
+import type { RunEnd } from '../connections/runEnd.js';
 import { StreamReader } from '../streaming/streamReader.js';
 import { WholeReader } from '../streaming/wholeReader.js';
 
--- a/programs/proxy/src/forwarding/proxyHandler.ts
+++ b/programs/proxy/src/forwarding/proxyHandler.ts
@@ -2,9 +2,9 @@
 import type { Clock, Counters } from '@pewterlanding/runtime';
 import type { ReplicaSelector } from '../selection/replicaSelector.js';
 import type { ConnectionPool } from '../connections/connectionPool.js';
-import { endToEnd } from './endToEnd.js';
-import { headerOf } from '../connections/headerOf.js';
-import type { HeaderNames } from './headerNames.js';
+import { endToEnd } from '../headers/endToEnd.js';
+import { headerOf } from '../headers/headerOf.js';
+import type { HeaderNames } from '../headers/headerNames.js';
 import type { RoutingState } from '../updates/routingState.js';
 import type { ProxiedRequest } from './proxiedRequest.js';
 import { UpstreamAttempt } from './upstreamAttempt.js';
@@ -12,7 +12,7 @@
 import type { ResponseWriter } from './responseWriter.js';
 import type { AttemptEnd } from './attemptEnd.js';
 import type { RouteMatch } from '../routing/routeMatch.js';
-import { StartGate } from '../batch-runner/startGate.js';
+import { StartGate } from './startGate.js';
 import { selectionRequestOf } from '../selection/selectionRequestOf.js';
 
 interface ExchangesOptions {
--- a/programs/proxy/src/forwarding/upstreamAttempt.ts
+++ b/programs/proxy/src/forwarding/upstreamAttempt.ts
@@ -1,10 +1,10 @@
 import type { Service } from '@pewterlanding/model';
 import type { Clock } from '@pewterlanding/runtime';
 import type { ConnectionPool } from '../connections/connectionPool.js';
-import { endToEnd } from './endToEnd.js';
+import { endToEnd } from '../headers/endToEnd.js';
 import { EventCutter } from '../streaming/eventCutter.js';
-import { headerOf } from '../connections/headerOf.js';
-import type { HeaderNames } from './headerNames.js';
+import { headerOf } from '../headers/headerOf.js';
+import type { HeaderNames } from '../headers/headerNames.js';
 import type { ProxiedRequest } from './proxiedRequest.js';
 import type { ResponseWriter } from './responseWriter.js';
 import type { AttemptEnd } from './attemptEnd.js';
--- a/programs/proxy/src/forwarding/endToEnd.ts
+++ b/programs/proxy/src/headers/endToEnd.ts
@@ -1,4 +1,4 @@
-import { headerOf } from '../connections/headerOf.js';
+import { headerOf } from './headerOf.js';
 
 /** Headers that concern one circuit only; a length is worked out anew, and an expectation was met by whoever read the body. */
 const ofConnection = new Set([
--- a/programs/proxy/src/selection/failureScores.ts
+++ b/programs/proxy/src/selection/failureScores.ts
@@ -6,47 +6,48 @@
   readonly atMs: number;
 }
 
-/** A failure moves a replica's score by this part of the way. A front sees few outcomes of each replica, so it learns fast. */
+/** Weight of a failure in a replica's average. One proxy sees few outcomes of each replica, so each counts much. */
 const failureWeight = 1 / 2;
-/** A success counts for less: a replica that fails half of its requests succeeds as often, and is not to be trusted for that. */
+/** Weight of a success: lower, so that a replica that fails half of its requests keeps a high score. */
 const successWeight = 1 / 8;
-/** The same for all replicas together. */
-const allWeight = 1 / 32;
-/** Of the failure timeout, the time in which a score that is not renewed halves: so a replica left alone comes back. */
+/** Weight of an outcome in the average over all replicas. */
+const meanWeight = 1 / 32;
+/** Half-life of a score without new outcomes, as a ratio of the failure timeout: a replica that gets no requests recovers. */
 const halfLifeRatio = 1 / 2;
-/** A replica fails more than others do when its score is above so many times that of all. */
-const overAll = 2;
-/** A replica that always fails counts as fuller by so many times its slots. */
+/** A replica is penalised for the part of its score above this multiple of the average. */
+const toleratedRatio = 2;
+/** Occupancy that is added to a replica that always fails. */
 const maxPenalty = 4;
 
 /**
- * How many of the attempts at each replica failed of late, seen from this front. A replica may fail a part of its requests, or fall
- * mute for a part of its callers, while every other request goes well: a pause after each failure that the next success ends finds
- * no such replica, a share of failures does. What all replicas do alike (an overload, say) is held against none.
+ * Recent failure rate of each replica as seen by this proxy, an exponentially weighted moving average with decay. It finds replicas that
+ * fail part of their requests, whose successes end every ejection. Failures that all replicas share, as in an overload, are not penalised.
  */
 export class FailureScores {
   readonly #clock: Clock;
   readonly #failureTimeoutMs: () => number;
   readonly #scores = new Map<string, Score>();
-  #all = 0;
+  #mean = 0;
 
   constructor(clock: Clock, failureTimeoutMs: () => number) {
     this.#clock = clock;
     this.#failureTimeoutMs = failureTimeoutMs;
   }
 
+  /** Counts an attempt at the replica with this key. */
   add(key: string, failed: boolean): void {
     const outcome = failed ? 1 : 0;
-    this.#all += (outcome - this.#all) * allWeight;
-    const now = this.#now(key);
-    if (!failed && now === 0) return;
-    this.#scores.set(key, { value: now + (outcome - now) * (failed ? failureWeight : successWeight), atMs: this.#clock.nowMs() });
+    this.#mean += (outcome - this.#mean) * meanWeight;
+    const current = this.#current(key);
+    if (!failed && current === 0) return;
+    const weight = failed ? failureWeight : successWeight;
+    this.#scores.set(key, { value: current + (outcome - current) * weight, atMs: this.#clock.nowMs() });
   }
 
-  /** What to add to the replica's occupancy. */
+  /** Occupancy to add to the replica's. */
   penalty(key: string): number {
     if (this.#scores.size === 0) return 0;
-    return Math.max(0, this.#now(key) - this.#all * overAll) * maxPenalty;
+    return Math.max(0, this.#current(key) - this.#mean * toleratedRatio) * maxPenalty;
   }
 
   /** Forgets replicas that are gone. */
@@ -54,7 +55,7 @@
     for (const key of this.#scores.keys()) if (!keys.has(key)) this.#scores.delete(key);
   }
 
-  #now(key: string): number {
+  #current(key: string): number {
     const score = this.#scores.get(key);
     if (score === undefined) return 0;
     const halfLifeMs = this.#failureTimeoutMs() * halfLifeRatio;
--- a/programs/proxy/src/selection/inFlightCounts.ts
+++ b/programs/proxy/src/selection/inFlightCounts.ts
@@ -1,35 +1,36 @@
 import type { Address } from '@pewterlanding/model';
 
-/** What this front has under way at replicas, by address, whatever path it came by. */
+/** Requests that this proxy has in flight at replicas, by address; shared by all users of the replicas. */
 export class InFlightCounts {
-  readonly #running = new Map<Address, number>();
-  readonly #batches = new Map<Address, number>();
+  readonly #all = new Map<Address, number>();
+  readonly #batch = new Map<Address, number>();
 
   begin(address: Address, kind: 'live' | 'batch'): void {
-    count(this.#running, address, 1);
-    if (kind === 'batch') count(this.#batches, address, 1);
+    add(this.#all, address, 1);
+    if (kind === 'batch') add(this.#batch, address, 1);
   }
 
   end(address: Address, kind: 'live' | 'batch'): void {
-    count(this.#running, address, -1);
-    if (kind === 'batch') count(this.#batches, address, -1);
+    add(this.#all, address, -1);
+    if (kind === 'batch') add(this.#batch, address, -1);
   }
 
   at(address: Address): number {
-    return this.#running.get(address) ?? 0;
+    return this.#all.get(address) ?? 0;
   }
 
   liveAt(address: Address): number {
-    return this.at(address) - (this.#batches.get(address) ?? 0);
+    return this.at(address) - (this.#batch.get(address) ?? 0);
   }
 
+  /** A live view, without addresses that have none. */
   all(): ReadonlyMap<Address, number> {
-    return this.#running;
+    return this.#all;
   }
 }
 
-function count(counts: Map<Address, number>, address: Address, by: number): void {
-  const now = (counts.get(address) ?? 0) + by;
-  if (now <= 0) counts.delete(address);
-  else counts.set(address, now);
+function add(counts: Map<Address, number>, address: Address, change: number): void {
+  const count = (counts.get(address) ?? 0) + change;
+  if (count <= 0) counts.delete(address);
+  else counts.set(address, count);
 }
--- a/programs/proxy/src/selection/retryBudget.ts
+++ b/programs/proxy/src/selection/retryBudget.ts
@@ -1,15 +1,19 @@
-/** Tries beyond the first may be so large a shard of all tasks, with a few in hand for a quiet front. */
+/** Attempts that may be saved up. */
+const maxAttempts = 10;
+
+/** Retry budget (as in Finagle and Envoy): retries are at most a ratio of all requests, with a reserve for a proxy with little traffic. */
 export class RetryBudget {
-  readonly #limit = 10;
-  #left = 10;
+  #available = maxAttempts;
 
+  /** Counts a request, which earns `ratio` of a retry. */
   task(ratio: number): void {
-    this.#left = Math.min(this.#limit, this.#left + ratio);
+    this.#available = Math.min(maxAttempts, this.#available + ratio);
   }
 
+  /** Spends one retry; false when there is none. */
   take(): boolean {
-    if (this.#left < 1) return false;
-    this.#left -= 1;
+    if (this.#available < 1) return false;
+    this.#available -= 1;
     return true;
   }
 }
--- a/programs/proxy/src/selection/selectionRequestOf.ts
+++ b/programs/proxy/src/selection/selectionRequestOf.ts
@@ -1,26 +1,26 @@
 import type { ServiceName } from '@pewterlanding/model';
-import type { ReplicaSelector } from './replicaSelector.js';
-import { headerOf } from '../connections/headerOf.js';
-import type { HeaderNames } from '../forwarding/headerNames.js';
+import type { HeaderNames } from '../headers/headerNames.js';
+import { headerOf } from '../headers/headerOf.js';
+import type { SelectionRequest } from './selectionRequest.js';
 
-/** What a task's headers tell of the work that it is and of the prompt parts that it shares. */
+/** Reads model, token counts and shared prompt parts of a live request from its headers; what is missing or unreadable counts as 0. */
 export function selectionRequestOf(
   headerNames: HeaderNames,
   headers: readonly string[],
   service: ServiceName,
   urgency: number,
-): Omit<Parameters<ReplicaSelector['enter']>[0], 'without'> {
-  const [promptTokens, outputTokens] = (headerOf(headers, headerNames.tokens) ?? '').split(',').map(countOf);
+): Omit<SelectionRequest, 'without'> {
+  const [promptTokens = 0, outputTokens = 0] = (headerOf(headers, headerNames.tokens) ?? '').split(',').map(countOf);
   const parts = (headerOf(headers, headerNames.parts) ?? '').split(',').map((part) => part.trim().split(':'));
-  // The last part belongs to the task or its session alone.
+  // The last part belongs to this request or its session alone.
   const shared = parts.slice(0, -1);
   return {
     service,
     kind: 'live',
     urgency,
     model: headerOf(headers, headerNames.model),
-    promptTokens: promptTokens ?? 0,
-    outputTokens: outputTokens ?? 0,
+    promptTokens,
+    outputTokens,
     shared: shared.map(([id]) => id).join(','),
     sharedTokens: shared.reduce((sum, [, tokens]) => sum + countOf(tokens ?? ''), 0),
   };
--- a/programs/proxy/src/selection/slotPool.ts
+++ b/programs/proxy/src/selection/slotPool.ts
@@ -4,247 +4,237 @@
 import type { ReplicaRow } from '../routing/replicaRow.js';
 import type { Tables } from '../routing/tables.js';
 import type { InFlightCounts } from './inFlightCounts.js';
+import { IntervalAverage } from './intervalAverage.js';
+import { PendingQueue } from './pendingQueue.js';
+import type { PendingRequest } from './pendingRequest.js';
+import { PowerOfTwoChoices } from './powerOfTwoChoices.js';
+import { SlotAccounting } from './slotAccounting.js';
 
-type Kind = 'live' | 'batch';
+type RequestKind = 'live' | 'batch';
 
-interface Waiting {
+interface SlotRequest {
   readonly quota: QuotaName;
-  readonly kind: Kind;
+  readonly kind: RequestKind;
   readonly without: ReadonlySet<string>;
-  readonly done: (granted: Given) => void;
 }
 
-type Given =
+type SlotGrant =
   | {
       readonly kind: 'room';
       readonly address: Address;
       readonly instance: string | undefined;
-      /** What tells this replica from others, for `without`. */
+      /** Identifies the replica, for `without`. */
       readonly key: string;
+      /** Releases the slot; later calls do nothing. */
       readonly leave: () => void;
     }
+  /** No slot in time or aborted; or shed from a full queue. */
   | { readonly kind: 'none' | 'shed' };
 
+type PendingSlot = PendingRequest<SlotRequest, SlotGrant>;
+
 interface SlotPoolOptions {
   readonly clock: Clock;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
+  /** The proxy's own zone. */
   readonly zone: string;
   readonly tables: () => Tables;
   readonly inFlight: InFlightCounts;
   readonly counters: Counters;
 }
 
-/** A replica that failed is left alone for a while, as a ratio of the silence after which it would be gone. */
-const hurtRatio = 0.2;
-/** The pace is an average over about so many slots given. */
-const paceMemory = 16;
-/** How much emptier a replica in another zone must be to be chosen. */
-const zoneRatio = 0.25;
-
-/** The slots of the replicas as this front uses them, and the bounded line of tasks that wait for one. */
+/** Ejection time after a failure, as a ratio of the silence after which a replica counts as gone. */
+const ejectionRatio = 0.2;
+/** Occupancy by which a replica of another zone must be less loaded to be chosen. */
+const otherZoneLoad = 0.25;
+/** Requests that are looked at before the queue of a service counts as blocked. */
+const maxLookahead = 8;
+/** Stands for the share of a quota that has none. */
+const minShare = 1e-9;
+
+/**
+ * Slots of replicas for inspected requests, chosen by the power of two choices, with a bounded queue. A full queue sheds the newest request
+ * of the quota that has most waiting for its share.
+ */
 export class SlotPool {
   readonly #options: SlotPoolOptions;
-  readonly #batches = new Map<ServiceName, number>();
-  /** What was under way here when others' use was last heard, by replica. */
-  readonly #base = new Map<Address, number>();
-  readonly #lines = new Map<ServiceName, Waiting[]>();
-  readonly #pace = new Map<ServiceName, { readonly lastMs: number; readonly everyMs: number }>();
-  readonly #hurtUntilMs = new Map<Address, number>();
-  #waiting = 0;
+  readonly #slots: SlotAccounting;
+  readonly #choices: PowerOfTwoChoices;
+  readonly #queue: PendingQueue<SlotRequest, SlotGrant>;
+  /** Time between two granted slots. */
+  readonly #grants = new Map<ServiceName, IntervalAverage>();
+  readonly #ejectedUntilMs = new Map<Address, number>();
 
   constructor(options: SlotPoolOptions) {
     this.#options = options;
+    const { clock, random, zone, inFlight } = options;
+    this.#slots = new SlotAccounting(inFlight);
+    this.#choices = new PowerOfTwoChoices({ random, zone, otherZoneLoad, distinct: false });
+    // A service is reported by `live` until its empty queue is next served.
+    this.#queue = new PendingQueue({ clock, keepsEmpty: true });
   }
 
+  /** Requests waiting for a slot, live requests and batch items. */
   get waiting(): number {
-    return this.#waiting;
+    return this.#queue.size;
   }
 
+  /** Live requests in flight and waiting, by service. */
   live(): { readonly service: ServiceName; readonly running: number; readonly waiting: number }[] {
     const { replicas } = this.#options.tables();
-    const names = new Set<ServiceName>([...this.#lines.keys()]);
-    for (const rows of replicas.values()) for (const row of rows) names.add(row.replica.service);
-    return [...names].map((service) => {
+    const services = new Set<ServiceName>(this.#queue.services());
+    for (const rows of replicas.values()) for (const row of rows) services.add(row.replica.service);
+    return [...services].map((service) => {
       const rows = replicas.get(service) ?? [];
-      // Services may share replicas, so what counts is all that is live at their replicas.
+      // Services may share replicas: all live requests at their replicas count.
       const running = rows.reduce((sum, { replica }) => sum + this.#options.inFlight.liveAt(replica.address), 0);
-      const waiting = (this.#lines.get(service) ?? []).filter((one) => one.kind === 'live').length;
+      const waiting = this.#queue.of(service).filter(({ request }) => request.kind === 'live').length;
       return { service, running, waiting };
     });
   }
 
-  /** Waits for a slot; 'none' when the time is over, 'shed' when the line is full and this branch has the most in it. */
+  /** Takes a slot, waiting up to `waitMs` for one: 'none' when it times out or is aborted, 'shed' when the queue was full. */
   enter(
     service: ServiceName,
     quota: QuotaName,
-    kind: Kind,
+    kind: RequestKind,
     waitMs: number,
     without: ReadonlySet<string>,
     abort: AbortSignal,
-  ): Promise<Given> {
-    const now = this.#give(service, kind, without);
-    if (now !== undefined) return Promise.resolve(now);
-    return new Promise((resolve) => {
-      const line = this.#lines.get(service) ?? [];
-      this.#lines.set(service, line);
-      let cancel = (): void => undefined;
-      const waiting: Waiting = {
-        quota,
-        kind,
-        without,
-        done: (granted) => {
-          cancel();
-          abort.removeEventListener('abort', leave);
-          resolve(granted);
-        },
-      };
-      const leave = (): void => this.#remove(service, waiting, 'none');
-      cancel = this.#options.clock.after(waitMs, leave);
-      abort.addEventListener('abort', leave);
-      line.push(waiting);
-      this.#waiting += 1;
-      if (kind === 'live') this.#shed();
-    });
+  ): Promise<SlotGrant> {
+    const granted = this.#grant(service, kind, without);
+    if (granted !== undefined) return Promise.resolve(granted);
+    const none = (): SlotGrant => ({ kind: 'none' });
+    const waiting = this.#queue.wait(service, { quota, kind, without }, { waitMs, abort, onTimeout: none, onAbort: none });
+    if (kind === 'live') this.#shed();
+    return waiting;
   }
 
-  /** When a task that found no room may find some: as long as those before it take at the pace at which slots were given of late. */
+  /** When a refused request may find a slot, in milliseconds: the queue's length times the average time between grants. */
   retryAfterMs(service: ServiceName): number {
-    const { configuration } = this.#options.tables();
-    const maxMs = configuration?.bounds.replicaFailureTimeoutMs ?? 0;
-    const pace = this.#pace.get(service);
-    const waiting = (this.#lines.get(service) ?? []).length + 1;
-    // Where none was given of late, a replica has to come first.
-    if (pace === undefined) return maxMs;
-    const sinceMs = this.#options.clock.nowMs() - pace.lastMs;
-    return Math.min(maxMs, waiting * Math.max(pace.everyMs, sinceMs / paceMemory));
+    const maxMs = this.#options.tables().configuration?.bounds.replicaFailureTimeoutMs ?? 0;
+    const grants = this.#grants.get(service);
+    // Without a grant so far a replica has to appear first.
+    if (grants === undefined) return maxMs;
+    const position = this.#queue.of(service).length + 1;
+    return Math.min(maxMs, position * grants.atLeastSince(this.#options.clock.nowMs()));
   }
 
+  /** Ejects a replica that failed, for a fixed time. */
   hurt(address: Address): void {
     const failureTimeoutMs = this.#options.tables().configuration?.bounds.replicaFailureTimeoutMs ?? 0;
-    this.#hurtUntilMs.set(address, this.#options.clock.nowMs() + failureTimeoutMs * hurtRatio);
+    this.#ejectedUntilMs.set(address, this.#options.clock.nowMs() + failureTimeoutMs * ejectionRatio);
   }
 
-  /** Whether any replica is left for one more try, now or when it has room. */
+  /** Whether a replica is left for another attempt, now or when it has a free slot. */
   offers(service: ServiceName, without: ReadonlySet<string>): boolean {
     return (this.#options.tables().replicas.get(service) ?? []).some((row) => !without.has(replicaKey(row.replica)));
   }
 
-  /** Others' use was heard anew. */
+  /** Call when the other proxies' reports of slots in use were received. */
   heard(): void {
-    this.#base.clear();
-    for (const [address, running] of this.#options.inFlight.all()) this.#base.set(address, running);
+    this.#slots.reportsReceived();
   }
 
-  /** Gives freed slots to those who wait. Called when a slot is left and when the tables change. */
+  /** Serves the queues. Called when a slot is released and when the routing tables change. */
   wake(): void {
-    for (const [service, line] of this.#lines) {
-      let granted = true;
-      while (granted && line.length > 0) {
-        granted = false;
-        // A lot with nothing running comes first: that is its floor. Otherwise live tasks do.
-        const batchFirst = (this.#batches.get(service) ?? 0) === 0;
-        const order = [...line].sort(
-          (a, b) => Number(b.kind === (batchFirst ? 'batch' : 'live')) - Number(a.kind === (batchFirst ? 'batch' : 'live')),
-        );
-        for (const waiting of order.slice(0, 8)) {
-          const room = this.#give(service, waiting.kind, waiting.without);
-          if (room === undefined) continue;
-          this.#take(service, waiting);
-          waiting.done(room);
-          granted = true;
-          break;
-        }
-      }
-      if (line.length === 0) this.#lines.delete(service);
+    for (const service of this.#queue.services()) {
+      let isServed = true;
+      while (isServed) isServed = this.#serveOne(service);
+      this.#queue.dropIfEmpty(service);
     }
   }
 
-  #give(service: ServiceName, kind: Kind, without: ReadonlySet<string>): Given | undefined {
+  /** Grants one slot to the first request in order of priority that can use it; false when there is none. */
+  #serveOne(service: ServiceName): boolean {
+    // A service without batch items in flight serves one first, so that batches make progress under any load; otherwise live requests.
+    const firstKind: RequestKind = this.#slots.hasBatchItems(service) ? 'live' : 'batch';
+    const rankOf = ({ request }: PendingSlot): number => Number(request.kind === firstKind);
+    const ordered = this.#queue.of(service).sort((a, b) => rankOf(b) - rankOf(a));
+    for (const pending of ordered.slice(0, maxLookahead)) {
+      const { kind, without } = pending.request;
+      const granted = this.#grant(service, kind, without);
+      if (granted === undefined) continue;
+      this.#queue.settle(pending, granted);
+      return true;
+    }
+    return false;
+  }
+
+  #grant(service: ServiceName, kind: RequestKind, without: ReadonlySet<string>): SlotGrant | undefined {
     const row = this.#choose(service, kind, without);
     if (row === undefined) return undefined;
     const { address, instance } = row.replica;
-    this.#keepPace(service);
-    this.#options.inFlight.begin(address, kind);
-    if (kind === 'batch') this.#batches.set(service, (this.#batches.get(service) ?? 0) + 1);
-    let left = false;
+    this.#countGrant(service);
+    this.#slots.begin(service, address, kind);
+    let isReleased = false;
     const leave = (): void => {
-      if (left) return;
-      left = true;
-      this.#options.inFlight.end(address, kind);
-      if (kind === 'batch') this.#batches.set(service, (this.#batches.get(service) ?? 1) - 1);
+      if (isReleased) return;
+      isReleased = true;
+      this.#slots.end(service, address, kind);
       this.wake();
     };
     return { kind: 'room', address, instance, key: replicaKey(row.replica), leave };
   }
 
-  /** A moving average of the time between two slots given. */
-  #keepPace(service: ServiceName): void {
-    const now = this.#options.clock.nowMs();
-    const known = this.#pace.get(service);
-    const sinceMs = now - (known?.lastMs ?? now);
-    this.#pace.set(service, {
-      lastMs: now,
-      everyMs: known === undefined ? 0 : known.everyMs * (1 - 1 / paceMemory) + sinceMs / paceMemory,
-    });
+  #countGrant(service: ServiceName): void {
+    const grants = this.#grants.get(service) ?? new IntervalAverage();
+    this.#grants.set(service, grants);
+    grants.add(this.#options.clock.nowMs());
   }
 
-  /** Two at random, the emptier of them; one in the own zone counts as emptier. */
-  #choose(service: ServiceName, kind: Kind, without: ReadonlySet<string>): ReplicaRow | undefined {
-    const { replicas, configuration, fronts } = this.#options.tables();
-    const now = this.#options.clock.nowMs();
-    const reserve = configuration?.bounds.liveReserve ?? 0;
-    const total = (row: ReplicaRow): number => this.#options.inFlight.at(row.replica.address) + row.others;
-    const batchFloorRatio = (this.#batches.get(service) ?? 0) === 0;
-    const limit = (row: ReplicaRow): number =>
-      kind === 'batch' && !batchFloorRatio ? Math.floor(row.replica.slots * (1 - reserve)) : row.replica.slots;
-    // Between two words of the others only this front's part of the free slots may be taken, or all would take them all.
-    const allowed = (row: ReplicaRow): boolean => {
-      const base = this.#base.get(row.replica.address) ?? 0;
-      const free = row.replica.slots - row.others - base;
-      return this.#options.inFlight.at(row.replica.address) < base + Math.max(1, Math.floor(free / fronts));
-    };
-    const fit = (replicas.get(service) ?? []).filter(
+  #choose(service: ServiceName, kind: RequestKind, without: ReadonlySet<string>): ReplicaRow | undefined {
+    const { replicas, fronts } = this.#options.tables();
+    const nowMs = this.#options.clock.nowMs();
+    const fitting = (replicas.get(service) ?? []).filter(
       (row) =>
-        total(row) < limit(row) &&
-        allowed(row) &&
+        this.#slots.inUse(row) < this.#slotLimit(row, service, kind) &&
+        this.#slots.isWithinShare(row, row.replica.slots, fronts) &&
         !without.has(replicaKey(row.replica)) &&
-        (this.#hurtUntilMs.get(row.replica.address) ?? 0) <= now,
+        (this.#ejectedUntilMs.get(row.replica.address) ?? 0) <= nowMs,
     );
-    const weight = (row: ReplicaRow): number =>
-      total(row) / row.replica.slots + (row.replica.zone === undefined || row.replica.zone === this.#options.zone ? 0 : zoneRatio);
-    const timely = fit.filter((row) => !row.late);
-    const from = timely.length > 0 ? timely : fit;
-    const first = from[Math.floor(this.#options.random() * from.length)];
-    const second = from[Math.floor(this.#options.random() * from.length)];
-    if (first === undefined || second === undefined) return undefined;
-    return weight(second) < weight(first) ? second : first;
+    const timely = fitting.filter((row) => !row.late);
+    const candidates = timely.length > 0 ? timely : fitting;
+    return this.#choices.choose(candidates, (row) => this.#slots.inUse(row) / row.replica.slots);
+  }
+
+  /** Batch items leave the live reserve free, except for one per service. */
+  #slotLimit({ replica }: ReplicaRow, service: ServiceName, kind: RequestKind): number {
+    if (kind === 'live' || !this.#slots.hasBatchItems(service)) return replica.slots;
+    const reserve = this.#options.tables().configuration?.bounds.liveReserve ?? 0;
+    return Math.floor(replica.slots * (1 - reserve));
   }
 
-  /** Over the bound, the branch that has most waiting for its share loses its newest. */
+  /** Over the bound of the queue, the quota that has most waiting for its share loses its newest live request. */
   #shed(): void {
-    const { configuration, tree } = this.#options.tables();
-    if (configuration === undefined || this.#waiting <= configuration.bounds.queue) return;
-    const counts = new Map<QuotaName, number>();
-    const all = [...this.#lines].flatMap(([service, line]) => line.filter((one) => one.kind === 'live').map((one) => ({ service, one })));
-    for (const { one } of all) counts.set(one.quota, (counts.get(one.quota) ?? 0) + 1);
-    const worst = [...counts].sort((a, b) => b[1] / Math.max(tree.ownShare(b[0]), 1e-9) - a[1] / Math.max(tree.ownShare(a[0]), 1e-9))[0];
-    const victim = all.filter(({ one }) => one.quota === worst?.[0]).at(-1);
+    const { configuration } = this.#options.tables();
+    if (configuration === undefined || this.#queue.size <= configuration.bounds.queue) return;
+    const live = this.#pendingLive();
+    const quota = this.#mostOverShare(live);
+    const victim = live.findLast(({ request }) => request.quota === quota);
     if (victim === undefined) return;
     this.#options.counters.add('room.shed');
-    this.#remove(victim.service, victim.one, 'shed');
+    this.#queue.settle(victim, { kind: 'shed' });
   }
 
-  #remove(service: ServiceName, waiting: Waiting, reason: 'none' | 'shed'): void {
-    if (this.#take(service, waiting)) waiting.done({ kind: reason });
+  #pendingLive(): PendingSlot[] {
+    const live: PendingSlot[] = [];
+    for (const service of this.#queue.services())
+      for (const pending of this.#queue.of(service)) if (pending.request.kind === 'live') live.push(pending);
+    return live;
   }
 
-  /** Out of the line first, and only then refused: what was refused can never run. */
-  #take(service: ServiceName, waiting: Waiting): boolean {
-    const line = this.#lines.get(service);
-    const at = line?.indexOf(waiting) ?? -1;
-    if (line === undefined || at < 0) return false;
-    line.splice(at, 1);
-    this.#waiting -= 1;
-    return true;
+  /** The quota with the most requests waiting for its share; among equals the one that was counted first. */
+  #mostOverShare(pending: readonly PendingSlot[]): QuotaName | undefined {
+    const { tree } = this.#options.tables();
+    const counts = new Map<QuotaName, number>();
+    for (const { request } of pending) counts.set(request.quota, (counts.get(request.quota) ?? 0) + 1);
+    let most: { readonly quota: QuotaName; readonly ratio: number } | undefined;
+    for (const [quota, count] of counts) {
+      const ratio = count / Math.max(tree.ownShare(quota), minShare);
+      if (most === undefined || ratio > most.ratio) most = { quota, ratio };
+    }
+    return most?.quota;
   }
 }
--- a/programs/proxy/src/startProxy.ts
+++ b/programs/proxy/src/startProxy.ts
@@ -3,9 +3,9 @@
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Clock, Running } from '@pewterlanding/runtime';
 import { FrontProxy } from './frontProxy.js';
-import type { HeaderNames } from './forwarding/headerNames.js';
+import type { HeaderNames } from './headers/headerNames.js';
 import { HttpReplicaTransport } from './forwarding/httpReplicaTransport.js';
-import { defaultHeaderNames } from './forwarding/defaultHeaderNames.js';
+import { defaultHeaderNames } from './headers/defaultHeaderNames.js';
 
 /** Of the grace: what runs of lots is broken off so long before its end. */
 const haltRatio = 0.1;
--- a/programs/proxy/src/streaming/streamReader.ts
+++ b/programs/proxy/src/streaming/streamReader.ts
@@ -1,6 +1,6 @@
 import { createParser } from 'eventsource-parser';
-import type { ReplicaTask } from '../forwarding/replicaTask.js';
-import type { RunEnd } from '../forwarding/runEnd.js';
+import type { ReplicaTask } from '../connections/replicaTask.js';
+import type { RunEnd } from '../connections/runEnd.js';
 
 /** Reads the events of a streamed return of an inspected task: numbered from 0 without a gap, then a close. */
 export class StreamReader {
--- a/programs/proxy/src/streaming/wholeReader.ts
+++ b/programs/proxy/src/streaming/wholeReader.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import type { ReplicaTask } from '../forwarding/replicaTask.js';
-import type { RunEnd } from '../forwarding/runEnd.js';
+import type { ReplicaTask } from '../connections/replicaTask.js';
+import type { RunEnd } from '../connections/runEnd.js';
 
 const WholeReturn = v.object({ task: v.string(), output: v.unknown() });
 
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -92,7 +92,7 @@
     edits: [
       { file: `${proxy}/updates/routingState.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
       // A replica that says nothing more is left for last, which holds this rule too.
-      { file: `${proxy}/selection/slotPool.js`, text: 'fit.filter((row) => !row.late)', instead: 'fit' },
+      { file: `${proxy}/selection/slotPool.js`, text: 'fitting.filter((row) => !row.late)', instead: 'fitting' },
     ],
   },
   {
