--- a/programs/proxy/src/connections/clientConnection.ts
+++ b/programs/proxy/src/connections/clientConnection.ts
@@ -5,13 +5,13 @@
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly abort: AbortController;
-  /** Set while it waits for the exchanges before it. */
+  /** Set while it waits for the responses before it. */
   begin?: () => void;
 }
 
 /**
- * What one client connection has under way. Requests may be sent on it without waiting for responses, but each begins only after
- * the response before it has gone: a response that closes the connection tells the client that nothing behind it was read.
+ * Requests of one client connection. Clients may pipeline, but each request begins only after the response before it was written: by a
+ * response with `connection: close` the client knows that no later request was processed (RFC 9112, 9.3.2).
  */
 export class ClientConnection {
   readonly #socket: Socket;
@@ -28,29 +28,30 @@
     });
   }
 
-  /** Whether bytes that were no request may be answered: with no other response owed, and none begun for the request they spoil. */
+  /** Whether malformed bytes may be answered: no other response is pending, and none was begun for the request that they belong to. */
   get mayRefuse(): boolean {
-    const [only, ...more] = this.#open;
-    if (only === undefined) return true;
-    return more.length === 0 && !only.request.complete && !only.response.headersSent;
+    const first = this.#open[0];
+    if (first === undefined) return true;
+    return this.#open.length === 1 && !first.request.complete && !first.response.headersSent;
   }
 
-  /** The signal fires once the client can have no response any more. */
+  /** Registers a request; `abort` fires once its client can no longer receive the response. */
   open(request: IncomingMessage, response: ServerResponse): RequestTracker {
-    const exchange: RequestTracker = { request, response, abort: new AbortController() };
-    this.#open.push(exchange);
+    const tracker: RequestTracker = { request, response, abort: new AbortController() };
+    this.#open.push(tracker);
     response.on('close', () => {
-      if (!response.writableFinished) exchange.abort.abort();
-      const at = this.#open.indexOf(exchange);
-      if (at >= 0) this.#open.splice(at, 1);
+      if (!response.writableFinished) tracker.abort.abort();
+      const index = this.#open.indexOf(tracker);
+      if (index >= 0) this.#open.splice(index, 1);
       this.#open[0]?.begin?.();
     });
-    return exchange;
+    return tracker;
   }
 
-  /** True once it is its turn; false when the connection was closed before. */
-  async turn(exchange: RequestTracker): Promise<boolean> {
-    if (this.#open[0] !== exchange && !exchange.abort.signal.aborted) await new Promise<void>((resolve) => (exchange.begin = resolve));
-    return !exchange.abort.signal.aborted && !this.#socket.destroyed && !this.#socket.writableEnded;
+  /** Resolves with true once all earlier responses were written; with false when the connection was closed before. */
+  async turn(tracker: RequestTracker): Promise<boolean> {
+    const mustWait = this.#open[0] !== tracker && !tracker.abort.signal.aborted;
+    if (mustWait) await new Promise<void>((resolve) => (tracker.begin = resolve));
+    return !tracker.abort.signal.aborted && !this.#socket.destroyed && !this.#socket.writableEnded;
   }
 }
--- a/programs/proxy/src/connections/connectionPool.ts
+++ b/programs/proxy/src/connections/connectionPool.ts
@@ -1,11 +1,14 @@
-import { Client, errors } from 'undici';
-import type { buildConnector, Dispatcher } from 'undici';
+import { Client } from 'undici';
+import type { buildConnector } from 'undici';
 import type { Address } from '@pewterlanding/model';
-import { headerOf } from '../headers/headerOf.js';
+import { PooledRequest } from './pooledRequest.js';
+import type { RequestControl } from './requestControl.js';
+import type { ResponseReader } from './responseReader.js';
+import type { UpstreamRequest } from './upstreamRequest.js';
 
 interface ConnectionPoolOptions {
   readonly connectMs: number;
-  /** How long an idle connection is kept where the replica does not say. */
+  /** How long an idle connection is kept where the replica states no keep-alive timeout. */
   readonly idleMs: number;
   /** Lower-case name of the header that carries a request's id, and that a replica echoes on its response. */
   readonly idHeader: string;
@@ -13,55 +16,24 @@
   readonly connect?: buildConnector.connector;
 }
 
-interface Sent {
-  /** The request's id, never empty: a response that does not echo it belongs to another request. */
-  readonly id: string;
-  readonly method: string;
-  readonly path: string;
-  /** Flat: names and values. */
-  readonly headers: string[];
-  readonly body: Buffer;
-}
-
-/** What comes back, told synchronously as it is read; after `end` or `failed` nothing follows. */
-interface Reader {
-  readonly head: (status: number, reason: string, headers: readonly string[]) => void;
-  readonly data: (chunk: Buffer) => void;
-  readonly end: () => void;
-  /** 'sent': bytes may have left, so that the replica may have run it; 'unfit': it is no task that can be sent. */
-  readonly failed: (error: Error, how: 'sent' | 'unsent' | 'unfit') => void;
-}
-
-/** One connection and the ids of the requests that it carried last. */
+/** One connection and the ids of its last requests. */
 interface Connection {
   readonly client: Client;
   readonly recentIds: string[];
 }
 
-interface Sending {
-  /** Whether a byte of the request may have left. Until then nothing of it can have run. */
-  readonly begun: boolean;
-  /** Destroys the connection at once; nothing more is told. */
-  readonly abort: () => void;
-  readonly pause: () => void;
-  readonly resume: () => void;
-}
-
-/** A replica's statement of when it closes idle connections comes by the whole second; sending so much before is safe. */
+/** Replicas state their keep-alive timeout in whole seconds; an idle connection is closed this much before it, to avoid the race. */
 const idleMarginMs = 400;
 /**
- * A replica may send one more response than it owes, in the place of the next. Where the next request has the same id (an item
- * that runs again, a retry), the echo cannot tell the two apart, so a connection never carries an id that it carried lately.
- * One would do for a replica that is late by one response; the rest is margin.
+ * A replica may send a response too many, which then stands in the place of the next. Where the next request has the same id (a batch item
+ * that runs again, a retry), the echo cannot tell the two apart, so a connection is not used for an id among its last ones. One would do
+ * for a replica that is late by one response; the rest is margin.
  */
 const recentIdCount = 8;
 
 /**
- * ConnectionPool to replicas: one task at a time on each, the one used last first, so that few stay open and new ones are rare.
- *
- * A response is told to a reader only if it came on the reader's connection, while its request was the one under way there, and
- * echoes its id. Anything else ends the connection. A reader is bound to its request by closure and deaf once it has ended, so
- * what comes late for an ended attempt reaches nobody.
+ * HTTP/1.1 connections to replicas without pipelining, the most recently used first, so that few stay open. A connection is used again only
+ * after its response was read to the end (see PooledRequest).
  */
 export class ConnectionPool {
   readonly #options: ConnectionPoolOptions;
@@ -73,108 +45,59 @@
     this.#options = options;
   }
 
-  /** ConnectionPool opened since the start: they are dear to replicas. */
+  /** Connections opened since the start. */
   get opened(): number {
     return this.#opened;
   }
 
-  /** ConnectionPool that wait to be used again. */
+  /** Idle connections. */
   get idle(): number {
     return [...this.#idle.values()].reduce((sum, { length }) => sum + length, 0);
   }
 
-  send(key: string, address: Address, sent: Sent, reader: Reader): Sending {
-    const connection = this.#take(key, sent.id) ?? this.#open(key, address);
+  /** Sends a request on a connection of the replica `key`, opened at `address` if none is idle. Never throws: see `reader.failed`. */
+  send(key: string, address: Address, request: UpstreamRequest, reader: ResponseReader): RequestControl {
+    const { id, method, path, headers, body } = request;
+    const connection = this.#takeIdle(key, id) ?? this.#open(key, address);
     const { client } = connection;
-    const { id, ...request } = sent;
-    connection.recentIds.push(id);
-    if (connection.recentIds.length > recentIdCount) connection.recentIds.shift();
+    rememberId(connection, id);
     this.#busy.add(client);
-    let control: Dispatcher.DispatchController | undefined;
-    let started = false;
-    let over = false;
-    let closing = false;
-    const destroy = (reason: Error): void => {
-      over = true;
-      this.#busy.delete(client);
-      // The controller's way fails the running task and destroys the socket under it; the client's serves those not yet connected.
-      control?.abort(reason);
-      client.destroy(reason).catch(() => undefined);
-    };
-    const fail = (error: Error): void => {
-      if (over) return;
-      destroy(error);
-      const unfit = error instanceof errors.InvalidArgumentError || error instanceof errors.NotSupportedError;
-      reader.failed(error, started ? 'sent' : unfit ? 'unfit' : 'unsent');
-    };
-    client.dispatch(
-      { ...request, body: sent.body.length === 0 ? null : sent.body, headersTimeout: 0, bodyTimeout: 0 },
-      {
-        onRequestStart: (controller) => {
-          control = controller;
-          // Sent twice it might run twice: the second time it is broken off before a byte.
-          if (over || started) return controller.abort(new errors.RequestAbortedError());
-          started = true;
-        },
-        onResponseStart: (controller, status, headers, reason) => {
-          if (over || status < 200) return;
-          const raw = flat(controller.rawHeaders);
-          if (headerOf(raw, this.#options.idHeader) !== id) return fail(new Error('the response is for another request'));
-          closing = String(headers['connection'] ?? '')
-            .toLowerCase()
-            .includes('close');
-          reader.head(status, reason ?? '', raw);
-        },
-        onResponseData: (_controller, chunk) => {
-          if (!over) reader.data(chunk);
-        },
-        onResponseEnd: () => {
-          if (over) return;
-          over = true;
-          this.#busy.delete(client);
-          if (closing) client.close().catch(() => undefined);
-          else this.#keep(key, connection);
-          reader.end();
-        },
-        onResponseError: (_controller, error) => fail(error),
-      },
-    );
-    return {
-      get begun() {
-        return started;
-      },
-      abort: () => {
-        if (!over) destroy(new errors.RequestAbortedError());
-      },
-      pause: () => {
-        if (!over) control?.pause();
-      },
-      resume: () => {
-        if (!over) control?.resume();
-      },
-    };
+    const pooled = new PooledRequest({
+      client,
+      id,
+      idHeader: this.#options.idHeader,
+      reader,
+      completed: (closing) => this.#release(key, connection, closing),
+      destroyed: () => this.#busy.delete(client),
+    });
+    const content = body.length === 0 ? null : body;
+    client.dispatch({ method, path, headers, body: content, headersTimeout: 0, bodyTimeout: 0 }, pooled.handler);
+    return pooled;
   }
 
-  /** Closes idle connections to lives that are not there any more. */
+  /** Closes idle connections to replicas that are gone. */
   retain(keys: ReadonlySet<string>): void {
     for (const [key, connections] of this.#idle) {
       if (keys.has(key)) continue;
       this.#idle.delete(key);
-      for (const { client } of connections) client.close().catch(() => undefined);
+      for (const { client } of connections) closeQuietly(client);
     }
   }
 
+  /** Destroys all connections; requests in flight fail. */
   async close(): Promise<void> {
-    const all = [...this.#busy, ...[...this.#idle.values()].flat().map(({ client }) => client)];
+    const clients = [...this.#busy];
+    for (const connections of this.#idle.values()) clients.push(...connections.map(({ client }) => client));
     this.#idle.clear();
-    await Promise.all(all.map((client) => client.destroy().catch(() => undefined)));
+    await Promise.all(clients.map((client) => client.destroy().catch(() => undefined)));
   }
 
-  /** The idle connection that was used last, of those that did not carry this id lately. */
-  #take(key: string, id: string): Connection | undefined {
+  /** The most recently used idle connection whose last requests did not have this id. */
+  #takeIdle(key: string, id: string): Connection | undefined {
     const idle = this.#idle.get(key);
-    const at = idle?.findLastIndex(({ recentIds }) => !recentIds.includes(id)) ?? -1;
-    return at < 0 ? undefined : idle?.splice(at, 1)[0];
+    if (idle === undefined) return undefined;
+    const index = idle.findLastIndex(({ recentIds }) => !recentIds.includes(id));
+    return index < 0 ? undefined : idle.splice(index, 1)[0];
   }
 
   #open(key: string, address: Address): Connection {
@@ -186,27 +109,34 @@
       keepAliveTimeoutThreshold: idleMarginMs,
       maxResponseSize: -1,
     });
-    // A connection that the other side closed is forgotten, not opened anew for nothing.
-    client.on('disconnect', () => {
-      const idle = this.#idle.get(key);
-      const at = idle?.findIndex((one) => one.client === client) ?? -1;
-      if (idle === undefined || at < 0) return;
-      idle.splice(at, 1);
-      if (idle.length === 0) this.#idle.delete(key);
-      client.close().catch(() => undefined);
-    });
+    client.on('disconnect', () => this.#forgetIdle(key, client));
     return { client, recentIds: [] };
   }
 
-  #keep(key: string, connection: Connection): void {
+  #release(key: string, connection: Connection, closing: boolean): void {
+    this.#busy.delete(connection.client);
+    if (closing) return closeQuietly(connection.client);
     const idle = this.#idle.get(key) ?? [];
     this.#idle.set(key, idle);
     idle.push(connection);
   }
+
+  /** undici would reopen a connection that the replica closed: it is dropped instead. */
+  #forgetIdle(key: string, client: Client): void {
+    const idle = this.#idle.get(key);
+    const index = idle?.findIndex((connection) => connection.client === client) ?? -1;
+    if (idle === undefined || index < 0) return;
+    idle.splice(index, 1);
+    if (idle.length === 0) this.#idle.delete(key);
+    closeQuietly(client);
+  }
+}
+
+function rememberId({ recentIds }: Connection, id: string): void {
+  recentIds.push(id);
+  if (recentIds.length > recentIdCount) recentIds.shift();
 }
 
-/** Headers as they came, by byte. */
-function flat(raw: Dispatcher.DispatchController['rawHeaders']): string[] {
-  if (!Array.isArray(raw)) return [];
-  return raw.map((one) => (typeof one === 'string' ? one : one.toString('latin1')));
+function closeQuietly(client: Client): void {
+  client.close().catch(() => undefined);
 }
--- a/programs/proxy/src/connections/replicaTask.ts
+++ b/programs/proxy/src/connections/replicaTask.ts
@@ -1,6 +1,6 @@
 import type { Address, Service, ServiceName, TaskId } from '@pewterlanding/model';
 
-/** One try, as it goes to a replica. */
+/** One attempt of an inspected request at one replica. */
 export interface ReplicaTask {
   readonly id: TaskId;
   readonly service: ServiceName;
--- a/programs/proxy/src/connections/replicaTransport.ts
+++ b/programs/proxy/src/connections/replicaTransport.ts
@@ -1,8 +1,11 @@
 import type { ReplicaTask } from './replicaTask.js';
 import type { RunEnd } from './runEnd.js';
 
-/** The way to replicas. It never throws: every end of a try is a RunEnd. */
+/** Sends inspected requests to replicas. Never rejects: every outcome is a RunEnd. */
 export interface ReplicaTransport {
-  /** Pieces of a stream come numbered from 0 and in order, or the try ends as broken. Aborting closes the circuit. */
+  /**
+   * `piece` gets the data of each event of a stream; they are numbered from 0 without a gap, or the attempt ends as broken.
+   * Aborting destroys the connection.
+   */
   run(task: ReplicaTask, piece: (data: string) => void, abort: AbortSignal): Promise<RunEnd>;
 }
--- a/programs/proxy/src/connections/runEnd.ts
+++ b/programs/proxy/src/connections/runEnd.ts
@@ -1,10 +1,10 @@
-/** How a try at a replica ended, as seen from the front. */
+/** How an attempt of an inspected request ended. `bytes` counts those of the response body. */
 export type RunEnd =
-  /** The whole, genuine return. Streams have handed over their pieces already. */
+  /** A complete response that passed all checks. The events of a stream were handed over before. */
   | { readonly kind: 'done'; readonly body: string; readonly bytes: number }
-  /** Surely nothing was sent. */
+  /** No byte was sent: the replica cannot have run it. */
   | { readonly kind: 'unsent' }
-  /** The replica returned a status instead. */
+  /** The replica responded with another status than 200. */
   | { readonly kind: 'status'; readonly status: number }
-  /** Sent, and not answered as it should be. */
+  /** Sent, without a valid response: the replica may have run it. */
   | { readonly kind: 'broken'; readonly reason: string; readonly bytes: number };
--- a/programs/proxy/src/headers/defaultHeaderNames.ts
+++ b/programs/proxy/src/headers/defaultHeaderNames.ts
@@ -1,6 +1,6 @@
 import type { HeaderNames } from './headerNames.js';
 
-/** The product's own names. */
+/** Header names where the embedding program sets no others. */
 export const defaultHeaderNames: HeaderNames = {
   task: 'task-id',
   expiryMs: 'expiry-ms',
--- a/programs/proxy/src/headers/endToEnd.ts
+++ b/programs/proxy/src/headers/endToEnd.ts
@@ -1,7 +1,7 @@
 import { headerOf } from './headerOf.js';
 
-/** Headers that concern one circuit only; a length is worked out anew, and an expectation was met by whoever read the body. */
-const ofConnection = new Set([
+/** Hop-by-hop headers (RFC 9110, 7.6.1). The length is computed again, and `expect` was met when the body was read. */
+const hopByHop = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -15,16 +15,18 @@
   'content-length',
 ]);
 
-/** What of a flat list of headers goes on to the next circuit, less those named in `without` (lower case). */
+/** End-to-end headers of a flat list (names and values), without those named in `without` (lower case). */
 export function endToEnd(list: readonly string[], without: readonly string[]): string[] {
-  // Whatever `connection` names concerns the circuit too.
-  const named = (headerOf(list, 'connection') ?? '').split(',').map((one) => one.trim().toLowerCase());
+  // Headers that `connection` names are hop-by-hop too.
+  const options = (headerOf(list, 'connection') ?? '').split(',').map((option) => option.trim().toLowerCase());
+  // `host` is kept even if named: a request without it would be invalid.
+  const dropped = (name: string): boolean => hopByHop.has(name) || without.includes(name) || (options.includes(name) && name !== 'host');
   const kept: string[] = [];
-  for (let at = 0; at + 1 < list.length; at += 2) {
-    const [key, value] = [list[at], list[at + 1]];
-    if (key === undefined || value === undefined) continue;
-    const name = key.toLowerCase();
-    if (!ofConnection.has(name) && !without.includes(name) && !(named.includes(name) && name !== 'host')) kept.push(key, value);
+  for (let index = 0; index + 1 < list.length; index += 2) {
+    const name = list[index];
+    const value = list[index + 1];
+    if (name === undefined || value === undefined) continue;
+    if (!dropped(name.toLowerCase())) kept.push(name, value);
   }
   return kept;
 }
--- a/programs/proxy/src/headers/headerNames.ts
+++ b/programs/proxy/src/headers/headerNames.ts
@@ -1,25 +1,25 @@
-/** The names of the headers that opaque tasks and their returns carry; another ground may have others. */
+/** Names, in lower case, of the headers on opaque requests and their responses; a platform may configure others. */
 export interface HeaderNames {
-  /** The task's id, on the task and back on the return. */
+  /** The request's id, echoed on the response. */
   readonly task: string;
-  /** Milliseconds that the downstream, or this front, will wait. */
+  /** Deadline of the sender: milliseconds from now that it will wait for the response. */
   readonly expiryMs: string;
   readonly retryAfter: string;
-  /** On a success: the replica's seal. */
+  /** On a success: shows that the response comes from the replica itself. */
   readonly seal: string;
-  /** On a refusal: the replica did not run the task. */
+  /** On a refusal: states that the replica did not run the request. */
   readonly notRun: string;
-  /** On a try: the life of the replica that is meant; any other answers 421 and does not run it. */
+  /** On an attempt: the replica instance that is meant; any other responds 421 and does not run it. */
   readonly instance: string;
-  /** Continue a stream after the event with this id. */
+  /** Resume a stream after the event with this id. */
   readonly resumeAfter: string;
   readonly model: string;
-  /** Tokens of the prompt and the most out, as `in,out`. */
+  /** Prompt tokens and upper bound of output tokens, as `in,out`. */
   readonly tokens: string;
   /** Parts of the prompt in order, as `id:tokens,…`. */
   readonly parts: string;
-  /** 0 to 9, 0 first. */
+  /** 0 to 9; 0 is served first. */
   readonly urgency: string;
-  /** How long a read may be held. */
+  /** Long poll: milliseconds that a read may wait. */
   readonly holdMs: string;
 }
--- /dev/null
+++ b/programs/proxy/src/streaming/index.ts
@@ -0,0 +1,4 @@
+export * from './eventCutter.js';
+export * from './eventText.js';
+export * from './streamReader.js';
+export * from './wholeReader.js';
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -297,7 +297,11 @@
     scenario: exchanges,
     seeds: [1, 2, 3],
     edits: [
-      { file: `${proxy}/connections/connectionPool.js`, text: 'if (headerOf(raw, this.#options.idHeader) !== id)', instead: 'if (false)' },
+      {
+        file: `${proxy}/connections/pooledRequest.js`,
+        text: 'if (headerOf(raw, this.#options.idHeader) !== this.#options.id)',
+        instead: 'if (false)',
+      },
     ],
   },
   {
