--- a/programs/proxy/src/forwarding/attemptEnd.ts
+++ b/programs/proxy/src/forwarding/attemptEnd.ts
@@ -1,23 +1,17 @@
-/** A replica's whole return. */
-interface WholeReturn {
-  readonly status: number;
-  readonly reason: string;
-  readonly headers: readonly string[];
-  readonly body: Buffer;
-}
+import type { WholeResponse } from './wholeResponse.js';
 
-/** How a try of an opaque task ended. */
+/** How an attempt of an opaque request ended. The kinds are parts of counter names. */
 export type AttemptEnd =
-  /** Surely nothing was sent. */
+  /** No byte was sent: the replica cannot have run it. */
   | { readonly kind: 'unsent' }
-  /** Nothing was sent, and no replica could be sent it. */
+  /** No byte was sent, and no replica can be sent this request. */
   | { readonly kind: 'unfit' }
-  /** The replica said that it did not run the task. */
-  | { readonly kind: 'notRun'; readonly result: WholeReturn }
-  | { readonly kind: 'whole'; readonly result: WholeReturn }
-  /** All events of a stream were passed on, and its end was whole. */
+  /** The replica stated that it did not run the request. */
+  | { readonly kind: 'notRun'; readonly result: WholeResponse }
+  | { readonly kind: 'whole'; readonly result: WholeResponse }
+  /** All events of a stream were passed on, up to its regular end. */
   | { readonly kind: 'streamed' }
-  /** Sent, and its time ran out or its downstream left with no word from the replica in this try. */
+  /** Sent, and without a response when its time ran out or its client disconnected. */
   | { readonly kind: 'silent'; readonly reason: string }
-  /** Sent, and no return that counts. */
+  /** Sent, without a valid response. */
   | { readonly kind: 'broken'; readonly reason: string };
--- a/programs/proxy/src/forwarding/startGate.ts
+++ b/programs/proxy/src/forwarding/startGate.ts
@@ -2,18 +2,18 @@
 
 interface StartGateOptions {
   readonly clock: Clock;
-  /** Whether this front knows where to send tasks. */
+  /** Whether this proxy knows a configuration and replicas. */
   readonly ready: () => boolean;
-  /** So long after its start a front that still knows nothing refuses at once. */
+  /** How long after its start a proxy holds requests. */
   readonly patienceMs: number;
 }
 
-/** More than these are refused at once: each holds its body in memory. */
+/** Bound of the held requests, as each keeps its body in memory; further ones are let through, to be refused. */
 const maxHeld = 1024;
 
 /**
- * A front that has just started knows neither setup nor replicas for a moment. Tasks that come meanwhile are held shortly:
- * refused, they would all come again at the same time, and pay for it.
+ * Holds requests while a proxy that has just started knows neither configuration nor replicas. Refused at once, all clients would retry at
+ * the same time.
  */
 export class StartGate {
   readonly #options: StartGateOptions;
@@ -25,30 +25,32 @@
     this.#untilMs = options.clock.nowMs() + options.patienceMs;
   }
 
+  /** Requests held now. */
   get held(): number {
     return this.#held.size;
   }
 
-  /** Resolves once the front knows enough, or after `waitMs`. */
+  /** Resolves once the proxy is ready, after `waitMs`, or when aborted. */
   pass(waitMs: number, abort: AbortSignal): Promise<void> {
     const { clock, ready } = this.#options;
     const maxMs = Math.min(waitMs, this.#untilMs - clock.nowMs());
     if (maxMs <= 0 || abort.aborted || this.#held.size >= maxHeld || ready()) return Promise.resolve();
     return new Promise((resolve) => {
-      const go = (): void => {
-        cancel();
-        abort.removeEventListener('abort', go);
-        this.#held.delete(go);
+      const release = (): void => {
+        cancelTimeout();
+        abort.removeEventListener('abort', release);
+        this.#held.delete(release);
         resolve();
       };
-      const cancel = clock.after(maxMs, go);
-      abort.addEventListener('abort', go);
-      this.#held.add(go);
+      const cancelTimeout = clock.after(maxMs, release);
+      abort.addEventListener('abort', release);
+      this.#held.add(release);
     });
   }
 
-  /** The news have changed. */
+  /** Call when the routing tables changed. */
   look(): void {
-    if (this.#held.size > 0 && this.#options.ready()) for (const go of [...this.#held]) go();
+    if (this.#held.size === 0 || !this.#options.ready()) return;
+    for (const release of [...this.#held]) release();
   }
 }
--- a/programs/proxy/src/forwarding/upstreamAttempt.ts
+++ b/programs/proxy/src/forwarding/upstreamAttempt.ts
@@ -1,106 +1,104 @@
-import type { Service } from '@pewterlanding/model';
+import type { Address, Service } from '@pewterlanding/model';
 import type { Clock } from '@pewterlanding/runtime';
-import type { ConnectionPool } from '../connections/connectionPool.js';
-import { endToEnd } from '../headers/endToEnd.js';
-import { EventCutter } from '../streaming/eventCutter.js';
-import { headerOf } from '../headers/headerOf.js';
-import type { HeaderNames } from '../headers/headerNames.js';
+import type { ConnectionPool, RequestControl } from '../connections/index.js';
+import { endToEnd, headerOf } from '../headers/index.js';
+import type { HeaderNames } from '../headers/index.js';
+import { EventCutter } from '../streaming/index.js';
+import type { AttemptEnd } from './attemptEnd.js';
 import type { ProxiedRequest } from './proxiedRequest.js';
 import type { ResponseWriter } from './responseWriter.js';
-import type { AttemptEnd } from './attemptEnd.js';
-
-/** What of a stream has been passed on, over all tries of it. */
-interface StreamState {
-  begun: boolean;
-  /** The last event passed on, or the one that the downstream has already. */
-  lastId: number | undefined;
-  /** The largest step between ids so far. */
-  step: number;
-}
+import type { StreamProgress } from './streamProgress.js';
 
 interface UpstreamAttemptOptions {
   readonly clock: Clock;
   readonly connections: ConnectionPool;
   readonly headerNames: HeaderNames;
   readonly writer: ResponseWriter;
-  readonly task: ProxiedRequest;
+  readonly request: ProxiedRequest;
+  /** The request's id. */
   readonly id: string;
   readonly rule: Service;
-  readonly streamed: boolean;
-  readonly stream: StreamState;
+  /** Whether a success is a stream of events, passed on as they arrive; otherwise the whole response is buffered. */
+  readonly isStreamed: boolean;
+  readonly stream: StreamProgress;
+  /** Key and address of the replica. */
   readonly key: string;
-  readonly address: Parameters<ConnectionPool['send']>[1];
+  readonly address: Address;
+  /** The headers to send. */
   readonly headers: string[];
-  /** The first event came. */
+  /** Called when the first event arrived. */
   readonly read: () => void;
 }
 
-/** Refusals that promise that the task has not run: passed on only with the replica's own word for it. */
+/** Statuses that promise that the request was not run: passed on only if the replica states so in its header. */
 const promises = new Set([408, 421, 429, 503]);
 
-/** One try of an opaque task at one replica: what comes back is judged before a byte of it goes on. */
+/** One attempt of an opaque request at one replica. The response is checked before any byte of it is passed on. */
 export class UpstreamAttempt {
+  /** Never rejects. */
   readonly end: Promise<AttemptEnd>;
   readonly #options: UpstreamAttemptOptions;
   readonly #chunks: Buffer[] = [];
   readonly #cutter = new EventCutter();
   #resolve: (end: AttemptEnd) => void = () => undefined;
-  #sending: ReturnType<ConnectionPool['send']> | undefined;
+  #control: RequestControl | undefined;
   #status = 0;
   #reason = '';
   #headers: readonly string[] = [];
-  #notRun = false;
-  #events = false;
+  #isNotRun = false;
+  #hasEvents = false;
   #bytes = 0;
   #heardMs: number;
-  #paused = false;
-  #over = false;
+  #isPaused = false;
+  #isOver = false;
 
+  /** Sends the request. */
   constructor(options: UpstreamAttemptOptions) {
     this.#options = options;
-    const { connections, id, key, address, task, headers } = options;
+    const { connections, id, key, address, request, headers } = options;
     this.#heardMs = options.clock.nowMs();
     this.end = new Promise((resolve) => (this.#resolve = resolve));
-    this.#sending = connections.send(
+    this.#control = connections.send(
       key,
       address,
-      { id, method: task.method, path: task.url, headers, body: task.body },
+      { id, method: request.method, path: request.url, headers, body: request.body },
       {
         head: (status, reason, response) => this.#head(status, reason, response),
         data: (chunk) => this.#data(chunk),
-        end: () => this.#ended(),
+        end: () => this.#complete(),
         failed: (error, how) => this.#finish(how === 'sent' ? { kind: 'broken', reason: error.message } : { kind: how }),
       },
     );
   }
 
+  /** Key of the replica. */
   get key(): string {
     return this.#options.key;
   }
 
-  /** When the replica was last heard in this try. */
+  /** When the replica last sent something, or the attempt began. */
   get heardMs(): number {
     return this.#heardMs;
   }
 
-  /** Whether a byte of it may have left. */
-  get begun(): boolean {
-    return this.#sending?.begun ?? false;
+  /** Whether a byte of the request may have left. */
+  get isSent(): boolean {
+    return this.#control?.begun ?? false;
   }
 
-  /** The head of a response to it came. */
-  get answered(): boolean {
+  /** Whether the head of a response arrived. */
+  get hasResponse(): boolean {
     return this.#status !== 0;
   }
 
-  /** Its downstream reads slowly: the replica is silent for that. */
-  get paused(): boolean {
-    return this.#paused;
+  /** Whether reading is paused for a slow client: the replica is silent for that reason. */
+  get isPaused(): boolean {
+    return this.#isPaused;
   }
 
-  /** Its time is over, or its downstream left. */
+  /** Ends the attempt because its time is over or its client disconnected: no fault of the replica if it has begun to respond. */
   giveUp(reason: string): void {
-    this.#stop({ kind: this.#status === 0 ? 'silent' : 'broken', reason });
+    this.#stop({ kind: this.hasResponse ? 'broken' : 'silent', reason });
   }
 
   /** Destroys the connection at once. */
@@ -108,109 +106,117 @@
     this.#stop({ kind: 'broken', reason });
   }
 
-  /** Where not a byte has left, for want of a connection, nothing can run: that is sure, however the try is ended. */
+  /** While no byte has left, for want of a connection, the replica cannot have run the request, however the attempt ends. */
   #stop(end: AttemptEnd): void {
-    const sure = this.begun ? end : ({ kind: 'unsent' } as const);
-    this.#sending?.abort();
-    this.#finish(sure);
+    const certainEnd: AttemptEnd = this.isSent ? end : { kind: 'unsent' };
+    this.#control?.abort();
+    this.#finish(certainEnd);
   }
 
   #finish(end: AttemptEnd): void {
-    if (this.#over) return;
-    this.#over = true;
+    if (this.#isOver) return;
+    this.#isOver = true;
     this.#resolve(end);
   }
 
   #head(status: number, reason: string, headers: readonly string[]): void {
-    const { headerNames, task, streamed } = this.#options;
+    const { headerNames, isStreamed, stream } = this.#options;
     this.#heardMs = this.#options.clock.nowMs();
     this.#status = status;
     this.#reason = reason;
     this.#headers = headers;
-    this.#notRun = status >= 400 && headerOf(headers, headerNames.notRun) !== undefined;
-    const success = status >= 200 && status < 300;
-    if (success && headerOf(headers, headerNames.seal) === undefined) return this.abort('a success without its seal');
-    if (success && headerOf(headers, 'content-encoding') !== undefined) return this.abort('a return that was encoded on its way');
-    const bodiless = task.method === 'HEAD' || status === 204 || status === 304;
-    // Without a length or chunks nobody can tell a whole return from a cut one.
-    if (!bodiless && headerOf(headers, 'content-length') === undefined && headerOf(headers, 'transfer-encoding') === undefined)
-      return this.abort('the return has no end mark');
-    this.#events = streamed && success && !bodiless;
-    // A stream that was begun can only be continued by events; that a replica did not run it is read to its end like any such word.
-    if (!this.#events && !this.#notRun && this.#options.stream.begun) this.abort(`status ${status} in the middle of a stream`);
+    this.#isNotRun = status >= 400 && headerOf(headers, headerNames.notRun) !== undefined;
+    const fault = this.#headFault();
+    if (fault !== undefined) return this.abort(fault);
+    this.#hasEvents = isStreamed && this.#isSuccess && !this.#isBodiless;
+    // A stream that was begun can only be continued by events. A statement that the request was not run is read to its end.
+    if (!this.#hasEvents && !this.#isNotRun && stream.isBegun) this.abort(`status ${status} in the middle of a stream`);
+  }
+
+  get #isSuccess(): boolean {
+    return this.#status >= 200 && this.#status < 300;
+  }
+
+  get #isBodiless(): boolean {
+    return this.#options.request.method === 'HEAD' || this.#status === 204 || this.#status === 304;
+  }
+
+  /** Why the head of the response is not valid, if it is not. */
+  #headFault(): string | undefined {
+    const { headerNames } = this.#options;
+    const has = (name: string): boolean => headerOf(this.#headers, name) !== undefined;
+    if (this.#isSuccess && !has(headerNames.seal)) return 'a success without its seal';
+    if (this.#isSuccess && has('content-encoding')) return 'a return that was encoded on its way';
+    // Without a length or chunks a complete response cannot be told from a truncated one.
+    if (!this.#isBodiless && !has('content-length') && !has('transfer-encoding')) return 'the return has no end mark';
+    return undefined;
   }
 
   #data(chunk: Buffer): void {
-    if (this.#over) return;
+    if (this.#isOver) return;
     this.#heardMs = this.#options.clock.nowMs();
-    if (this.#events) return this.#pass(chunk);
+    if (this.#hasEvents) return this.#passEvents(chunk);
     this.#bytes += chunk.length;
     if (this.#bytes > this.#options.rule.maxReturnBytes) return this.abort('the return is too large');
     this.#chunks.push(chunk);
   }
 
-  /** Passes whole events on as they come, as long as their ids rise and none is missing where a run was continued. */
-  #pass(chunk: Buffer): void {
+  /** Passes complete events on as they arrive, up to the first that is out of order. */
+  #passEvents(chunk: Buffer): void {
     const { stream, read, rule } = this.#options;
-    const ready: Buffer[] = [];
-    let wrong: string | undefined;
+    const accepted: Buffer[] = [];
+    let fault: string | undefined;
     for (const { bytes, id } of this.#cutter.feed(chunk)) {
-      const at = id === undefined || !/^\d{1,15}$/.test(id) ? undefined : Number(id);
-      if (at !== undefined) {
-        const last = stream.lastId;
-        // One event may carry several tokens; a run continues within the steps that were seen.
-        const continued = this.#bytes === 0 && last !== undefined && (stream.begun || last > 0);
-        if (last !== undefined && (at <= last || (continued && at - last > stream.step))) {
-          wrong = 'an event is out of order';
-          break;
-        }
-        if (last !== undefined && stream.begun) stream.step = Math.max(stream.step, at - last);
-        stream.lastId = at;
+      if (!stream.accept(id, this.#bytes === 0)) {
+        fault = 'an event is out of order';
+        break;
       }
       this.#bytes += bytes.length;
-      ready.push(bytes);
+      accepted.push(bytes);
     }
-    if (this.#cutter.held.length > rule.maxReturnBytes) wrong = 'an event is too large';
-    if (ready.length > 0) {
+    if (this.#cutter.held.length > rule.maxReturnBytes) fault = 'an event is too large';
+    if (accepted.length > 0) {
       read();
-      this.#write(Buffer.concat(ready));
+      this.#write(Buffer.concat(accepted));
     }
-    if (wrong !== undefined) this.abort(wrong);
+    if (fault !== undefined) this.abort(fault);
   }
 
   #write(bytes: Buffer): void {
     const { writer } = this.#options;
     this.#begin();
-    if (writer.write(bytes) || this.#paused) return;
-    // A downstream that reads slowly holds the replica back, not this front's memory.
-    this.#paused = true;
-    this.#sending?.pause();
+    if (writer.write(bytes) || this.#isPaused) return;
+    // Backpressure: a slow client slows the replica down instead of filling this proxy's memory.
+    this.#isPaused = true;
+    this.#control?.pause();
     writer.drained(() => {
-      this.#paused = false;
-      this.#sending?.resume();
+      this.#isPaused = false;
+      this.#control?.resume();
     });
   }
 
   #begin(): void {
     const { writer, stream } = this.#options;
-    if (stream.begun) return;
-    stream.begun = true;
+    if (stream.isBegun) return;
+    stream.begin();
     writer.head(this.#status, this.#reason, endToEnd(this.#headers, []));
   }
 
-  #ended(): void {
-    if (this.#over) return;
-    if (this.#events) {
-      this.#begin();
-      // Bytes after the last blank line belong to the replica's body too.
-      this.#options.writer.end(this.#cutter.held.length > 0 ? this.#cutter.held : undefined);
-      return this.#finish({ kind: 'streamed' });
-    }
-    const response = { status: this.#status, reason: this.#reason, headers: this.#headers, body: Buffer.concat(this.#chunks) };
-    if (this.#notRun) return this.#finish({ kind: 'notRun', result: response });
-    // Without the replica's word these would promise what is not known.
+  #complete(): void {
+    if (this.#isOver) return;
+    if (this.#hasEvents) return this.#completeStream();
+    const result = { status: this.#status, reason: this.#reason, headers: this.#headers, body: Buffer.concat(this.#chunks) };
+    if (this.#isNotRun) return this.#finish({ kind: 'notRun', result });
     if (promises.has(this.#status))
       return this.#finish({ kind: 'broken', reason: `status ${this.#status} without a word that it did not run` });
-    this.#finish({ kind: 'whole', result: response });
+    this.#finish({ kind: 'whole', result });
+  }
+
+  #completeStream(): void {
+    this.#begin();
+    // Bytes after the last blank line are part of the body too.
+    const rest = this.#cutter.held;
+    this.#options.writer.end(rest.length > 0 ? rest : undefined);
+    this.#finish({ kind: 'streamed' });
   }
 }
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -309,7 +309,7 @@
     rule: 'an unrepeatable task runs twice',
     scenario: exchanges,
     seeds: [1, 2, 3],
-    edits: [{ file: `${proxy}/forwarding/proxyHandler.js`, text: 'if (progress.ran && !idempotent)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/requestForwarding.js`, text: 'if (this.#mayHaveRun && !isIdempotent)', instead: 'if (false)' }],
   },
   {
     name: 'wordlessRefusal',
