--- a/programs/proxy/src/forwarding/proxiedRequest.ts
+++ b/programs/proxy/src/forwarding/proxiedRequest.ts
@@ -1,4 +1,4 @@
-/** A task as the downstream sent it; its bytes are nobody's business here. */
+/** An opaque request as the client sent it; the proxy does not read its body. */
 export interface ProxiedRequest {
   readonly method: string;
   readonly host: string;
--- a/programs/proxy/src/forwarding/responseWriter.ts
+++ b/programs/proxy/src/forwarding/responseWriter.ts
@@ -1,11 +1,11 @@
-/** The downstream's side of one task. */
+/** Writes the response to one opaque request. */
 export interface ResponseWriter {
-  /** Status, reason and flat headers; they may leave with the first bytes. */
+  /** Status, reason phrase and flat headers; they may be sent together with the first bytes of the body. */
   readonly head: (status: number, reason: string, headers: readonly string[]) => void;
-  /** False when the downstream reads slower than this; then `drained` tells when to go on. */
+  /** False when the client reads more slowly than this; `drained` then calls back when to go on. */
   readonly write: (chunk: Buffer) => boolean;
   readonly drained: (run: () => void) => void;
   readonly end: (chunk?: Buffer) => void;
-  /** Breaks the circuit, so that nobody takes what was sent for a whole return. */
+  /** Closes the connection early, so that the client takes nothing for a complete response. */
   readonly destroy: () => void;
 }
--- a/programs/proxy/src/streaming/eventCutter.ts
+++ b/programs/proxy/src/streaming/eventCutter.ts
@@ -1,46 +1,58 @@
 const lineFeed = 0x0a;
 const carriageReturn = 0x0d;
+const idField = 'id:';
 
-/** A whole event, its bytes unchanged, and its id where it has one. */
 interface CutEvent {
+  /** The event's bytes, unchanged, with the blank line that ends it. */
   readonly bytes: Buffer;
   readonly id: string | undefined;
 }
 
-/** Cuts the bytes of a stream into whole events, at the blank lines. */
+/** Splits a stream of server-sent events into complete events, at their blank lines. Lines end with LF or CRLF. */
 export class EventCutter {
   #held: Buffer = Buffer.alloc(0);
-  /** Where the line being read begins, and how far it was looked through. */
-  #line = 0;
-  #seen = 0;
+  /** Where the current line begins in the held bytes. */
+  #lineStart = 0;
+  /** Up to where the held bytes were searched. */
+  #searched = 0;
   #id: string | undefined;
 
-  /** Bytes of an event that has not ended. */
+  /** Bytes of an event that is not complete. */
   get held(): Buffer {
     return this.#held;
   }
 
+  /** Takes the next bytes; returns the events that they complete. */
   feed(chunk: Buffer): readonly CutEvent[] {
     const events: CutEvent[] = [];
     this.#held = this.#held.length === 0 ? chunk : Buffer.concat([this.#held, chunk]);
-    let from = 0;
+    let eventStart = 0;
     for (;;) {
-      const end = this.#held.indexOf(lineFeed, this.#seen);
-      if (end < 0) break;
-      const last = end > this.#line && this.#held[end - 1] === carriageReturn ? end - 1 : end;
-      if (last === this.#line) {
-        events.push({ bytes: this.#held.subarray(from, end + 1), id: this.#id });
-        from = end + 1;
+      const lineEnd = this.#held.indexOf(lineFeed, this.#searched);
+      if (lineEnd < 0) break;
+      if (this.#readLine(lineEnd) === 'blank') {
+        events.push({ bytes: this.#held.subarray(eventStart, lineEnd + 1), id: this.#id });
+        eventStart = lineEnd + 1;
         this.#id = undefined;
-      } else if (last - this.#line > 2 && this.#held.toString('latin1', this.#line, this.#line + 3) === 'id:') {
-        this.#id = this.#held.toString('latin1', this.#line + 3, last).trim();
       }
-      this.#line = end + 1;
-      this.#seen = end + 1;
+      this.#lineStart = lineEnd + 1;
+      this.#searched = lineEnd + 1;
     }
-    this.#held = this.#held.subarray(from);
-    this.#line -= from;
-    this.#seen = this.#held.length;
+    this.#held = this.#held.subarray(eventStart);
+    this.#lineStart -= eventStart;
+    this.#searched = this.#held.length;
     return events;
   }
+
+  /** Reads the line from `#lineStart` to the line feed at `lineEnd`, and keeps its id if it has one. */
+  #readLine(lineEnd: number): 'blank' | 'field' {
+    const start = this.#lineStart;
+    const hasReturn = lineEnd > start && this.#held[lineEnd - 1] === carriageReturn;
+    const end = hasReturn ? lineEnd - 1 : lineEnd;
+    if (end === start) return 'blank';
+    const valueStart = start + idField.length;
+    if (end >= valueStart && this.#held.toString('latin1', start, valueStart) === idField)
+      this.#id = this.#held.toString('latin1', valueStart, end).trim();
+    return 'field';
+  }
 }
--- a/programs/proxy/src/streaming/wholeReader.ts
+++ b/programs/proxy/src/streaming/wholeReader.ts
@@ -1,11 +1,12 @@
 import * as v from 'valibot';
-import type { ReplicaTask } from '../connections/replicaTask.js';
-import type { RunEnd } from '../connections/runEnd.js';
+import type { ReplicaTask, RunEnd } from '../connections/index.js';
+import type { InspectedReader } from './inspectedReader.js';
 
 const WholeReturn = v.object({ task: v.string(), output: v.unknown() });
+const WholeReturnText = v.pipe(v.string(), v.parseJson(), WholeReturn);
 
-/** Reads the body of a whole return of an inspected task. */
-export class WholeReader {
+/** Reads the whole response to an inspected request: JSON with the request's id and the output. */
+export class WholeReader implements InspectedReader {
   readonly #task: ReplicaTask;
   readonly #chunks: Buffer[] = [];
   bytes = 0;
@@ -14,7 +15,6 @@
     this.#task = task;
   }
 
-  /** Returns what is wrong, if anything. */
   feed(chunk: Buffer): string | undefined {
     this.bytes += chunk.length;
     if (this.bytes > this.#task.rule.maxReturnBytes) return 'the return is too large';
@@ -24,8 +24,7 @@
 
   end(): RunEnd {
     const { bytes } = this;
-    const text = Buffer.concat(this.#chunks).toString('utf8');
-    const read = v.safeParse(v.pipe(v.string(), v.parseJson(), WholeReturn), text);
+    const read = v.safeParse(WholeReturnText, Buffer.concat(this.#chunks).toString('utf8'));
     if (!read.success) return { kind: 'broken', reason: 'the return cannot be read', bytes };
     if (read.output.task !== this.#task.id) return { kind: 'broken', reason: 'the return is for another task', bytes };
     return { kind: 'done', body: JSON.stringify(read.output.output), bytes };
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -21,7 +21,7 @@
     scenario: 'booksBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'if (!rule.idempotent && !notRun)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/taskForwarding.js`, text: 'if (!rule.idempotent && !isNotRun)', instead: 'if (false)' }],
   },
   {
     name: 'lostItems',
@@ -58,7 +58,7 @@
     scenario: 'modelsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'ran ||= !notRun;', instead: '' }],
+    edits: [{ file: `${proxy}/forwarding/taskForwarding.js`, text: 'this.#mayHaveRun ||= !isNotRun;', instead: '' }],
   },
   {
     name: 'cutIsNoEnd',
@@ -68,10 +68,9 @@
     ci: true,
     edits: [
       {
-        file: `${proxy}/forwarding/forwarder.js`,
-        text: `return {
-                        result: { kind: 'cut', reason`,
-        instead: "return { result: { kind: 'streamed', reason",
+        file: `${proxy}/forwarding/taskForwarding.js`,
+        text: "const result = { kind: 'cut', reason };",
+        instead: "const result = { kind: 'streamed', reason };",
       },
     ],
   },
@@ -81,7 +80,7 @@
     scenario: 'streamsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'if (pieces > 0)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/taskForwarding.js`, text: 'if (this.#pieceCount > 0)', instead: 'if (false)' }],
   },
   {
     name: 'leavingIsNotRouted',
