--- a/programs/proxy/src/routing/replicaKey.ts
+++ b/programs/proxy/src/routing/replicaKey.ts
@@ -1,6 +1,6 @@
 import type { Replica } from '@pewterlanding/agent';
 
-/** What tells replicas apart: the life where they name one, for two lives may follow each other at one address. */
+/** Identifies a replica: its instance where it announces one, as two instances may follow each other at one address; else the address. */
 export function replicaKey(replica: Replica): string {
   return replica.instance ?? replica.address;
 }
--- a/programs/proxy/src/routing/replicaRow.ts
+++ b/programs/proxy/src/routing/replicaRow.ts
@@ -1,10 +1,10 @@
 import type { Replica } from '@pewterlanding/agent';
 
-/** A replica that may get tasks: announced, allowed by the setup, and neither leaving nor silent. */
+/** A replica that may get requests: announced, allowed by the configuration, and neither draining nor silent. */
 export interface ReplicaRow {
   readonly replica: Replica;
-  /** Tasks that other fronts have under way there. */
+  /** Requests that other proxies have in flight there, as of their last reports. */
   readonly others: number;
-  /** Its announcements are late: taken only where no other has room. */
+  /** Its announcements are late: selected only if no other replica has a free slot. */
   readonly late: boolean;
 }
--- a/programs/proxy/src/routing/routeTable.ts
+++ b/programs/proxy/src/routing/routeTable.ts
@@ -4,21 +4,22 @@
 
 interface HostRoutes {
   readonly byPrefix: ReadonlyMap<string, RouteMatch>;
-  /** Lengths of prefixes: only where the path has a slash at one of them can a prefix end. */
+  /** Lengths of the prefixes: a match can end only at a slash of the path at one of them. */
   readonly lengths: ReadonlySet<number>;
   readonly longest: number;
 }
 
-/** The routes of one setup, compiled: what one search costs depends on the path and not on the number of routes. */
+/** Routes of one configuration by host and path prefix. The cost of a search depends on the path, not on the number of routes. */
 export class RouteTable {
   readonly #hosts: ReadonlyMap<string, HostRoutes>;
 
   constructor(configuration: Configuration | undefined) {
     const hosts = new Map<string, Map<string, RouteMatch>>();
-    for (const [name, route] of configuration === undefined ? [] : entriesOf(configuration.routes)) {
-      const ways = hosts.get(route.host) ?? new Map<string, RouteMatch>();
-      hosts.set(route.host, ways);
-      ways.set(route.prefix, { name, route, service: splitOf(route) });
+    const routes = configuration === undefined ? [] : entriesOf(configuration.routes);
+    for (const [name, route] of routes) {
+      const byPrefix = hosts.get(route.host) ?? new Map<string, RouteMatch>();
+      hosts.set(route.host, byPrefix);
+      byPrefix.set(route.prefix, { name, route, service: weightedChoice(route) });
     }
     this.#hosts = new Map(
       [...hosts].map(([host, byPrefix]) => {
@@ -28,32 +29,45 @@
     );
   }
 
-  /** Among the routes of the host, the one with the longest prefix that begins the path. */
+  /** The route with the longest prefix of the path among those of the host; undefined if none matches. */
   find(host: string, url: string): RouteMatch | undefined {
     const hostRoutes = this.#hosts.get(bareHost(host));
     if (hostRoutes === undefined) return undefined;
-    const query = url.indexOf('?');
-    const path = query < 0 ? url : url.slice(0, query);
-    for (let at = path.lastIndexOf('/', hostRoutes.longest - 1); at >= 0; at = at === 0 ? -1 : path.lastIndexOf('/', at - 1)) {
-      if (!hostRoutes.lengths.has(at + 1)) continue;
-      const routeMatch = hostRoutes.byPrefix.get(path.slice(0, at + 1));
-      if (routeMatch !== undefined) return routeMatch;
+    const path = pathOf(url);
+    let slash = path.lastIndexOf('/', hostRoutes.longest - 1);
+    while (slash >= 0) {
+      const length = slash + 1;
+      const match = hostRoutes.lengths.has(length) ? hostRoutes.byPrefix.get(path.slice(0, length)) : undefined;
+      if (match !== undefined) return match;
+      // A negative start would be taken as 0 and find the first slash again.
+      slash = slash === 0 ? -1 : path.lastIndexOf('/', slash - 1);
     }
     return undefined;
   }
 }
 
-/** In lower case, without its port. */
+function pathOf(url: string): string {
+  const query = url.indexOf('?');
+  return query < 0 ? url : url.slice(0, query);
+}
+
+/** The host in lower case, without its port. */
 function bareHost(host: string): string {
   const name = /^(\[[^\]]*\]|[^:]*)(:\d*)?$/.exec(host);
   return (name?.[1] ?? host).toLowerCase();
 }
 
-function splitOf({ services }: Route): (draw: number) => ServiceName | undefined {
-  const open = services.filter(({ weight }) => weight > 0);
-  const total = open.reduce((sum, { weight }) => sum + weight, 0);
+/** Selects among the services of a route by their weights. */
+function weightedChoice({ services }: Route): (draw: number) => ServiceName | undefined {
+  const weighted = services.filter(({ weight }) => weight > 0);
+  const total = weighted.reduce((sum, { weight }) => sum + weight, 0);
   return (draw) => {
-    let left = draw * total;
-    return (open.find(({ weight }) => (left -= weight) < 0) ?? open.at(-1))?.service;
+    let remaining = draw * total;
+    for (const { service, weight } of weighted) {
+      remaining -= weight;
+      if (remaining < 0) return service;
+    }
+    // Rounding may leave a remainder.
+    return weighted.at(-1)?.service;
   };
 }
--- a/programs/proxy/src/routing/tables.ts
+++ b/programs/proxy/src/routing/tables.ts
@@ -5,18 +5,19 @@
 import type { ReplicaRow } from './replicaRow.js';
 import type { RouteTable } from './routeTable.js';
 
-/** All a proxy routes by, immutable and swapped whole. */
+/** Everything that a proxy routes by. Immutable: each change makes new tables. */
 export interface Tables {
   readonly version: number;
   readonly configuration: Configuration | undefined;
   readonly tree: QuotaTree;
-  /** The setup's routes, compiled. */
+  /** The configuration's routes. */
   readonly routeTable: RouteTable;
+  /** By service. */
   readonly replicas: ReadonlyMap<string, readonly ReplicaRow[]>;
   readonly shards: ShardMap;
   readonly singletonRole: SingletonRole | undefined;
-  /** Fronts that tell their use, this one included. */
+  /** Proxies that report the slots they use, this one included. */
   readonly fronts: number;
-  /** Usual output of services, as learned. */
+  /** Output tokens of a typical request, by service, as observed. */
   readonly outputTokens: ReadonlyMap<string, number>;
 }
--- a/programs/proxy/test/failureScores.test.ts
+++ b/programs/proxy/test/failureScores.test.ts
@@ -10,8 +10,8 @@
   clock.next();
 }
 
-describe('the scores of failing replicas', () => {
-  it('hold a failure against a replica, a half of them too, and let go of it with time', () => {
+describe('failure scores', () => {
+  it('penalise a replica that fails, also one that fails half of its requests, and decay with time', () => {
     const clock = new TestClock();
     const scores = new FailureScores(clock, () => timeoutMs);
     expect(scores.penalty('a')).toEqual(0);
@@ -26,7 +26,7 @@
     expect(scores.penalty('a') < 0.01).toEqual(true);
   });
 
-  it('hold nothing against replicas that all fail alike', () => {
+  it('do not penalise replicas that all fail alike', () => {
     const scores = new FailureScores(new TestClock(), () => timeoutMs);
     for (let round = 0; round < 40; round += 1) for (const key of ['a', 'b', 'c']) scores.add(key, true);
     for (const key of ['a', 'b', 'c']) expect(scores.penalty(key)).toEqual(0);
--- a/programs/proxy/test/httpReplicaTransport.test.ts
+++ b/programs/proxy/test/httpReplicaTransport.test.ts
@@ -19,7 +19,7 @@
   namelessRefusal: (reply) => reply.writeHead(503).end(),
 };
 
-describe('the wire of inspected tasks', () => {
+describe('the transport of inspected requests', () => {
   let carried: Socket | undefined;
   const transport = new HttpReplicaTransport(new SystemClock());
   let server: Server;
@@ -50,7 +50,7 @@
     return end.kind === 'status' ? end.status : end.kind;
   };
 
-  it('takes neither a return nor a refusal for another task as its own, and ends the connection of each', async () => {
+  it('accepts neither a response nor a refusal for another request, and closes the connection of each', async () => {
     expect(await run('own')).toEqual('done');
     expect(carried?.destroyed).toEqual(false);
     expect(await run('ownRefusal')).toEqual(503);
--- a/programs/proxy/test/proxyHandler.test.ts
+++ b/programs/proxy/test/proxyHandler.test.ts
@@ -14,8 +14,8 @@
 const bodyOf = (response: string): string => response.slice(response.indexOf('\r\n\r\n') + 4);
 const statusOf = (response: string): string => response.slice(9, 12);
 
-describe('opaque tasks', () => {
-  it('are sent unchanged to a named life, and its return comes back unchanged', async () => {
+describe('opaque requests', () => {
+  it('are sent unchanged to a named instance, and its response comes back unchanged', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 Fine', 'seal: x\r\nX-Own: 1\r\n', 'body')));
     const response = await front.send('/w/q?a=%zz', 't1', 'X-Mine: 2\r\n');
     const [head = ''] = front.standIns[0]?.heads ?? [];
@@ -28,7 +28,7 @@
     await front.close();
   });
 
-  it('never pass on the return of another task, and destroy its connection', async () => {
+  it('never get the response to another request, whose connection is destroyed', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'other', 'another')));
     const response = await front.send('/w/', 't1');
     expect(statusOf(response)).toEqual('502');
@@ -37,7 +37,7 @@
     await front.close();
   });
 
-  it('without an id are refused and reach no replica, for nothing would tell their return from another', async () => {
+  it('without an id are refused and reach no replica, as their response could not be told from another', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'body')));
     for (const header of ['', 'task-id: \r\n']) {
       const head = `POST /w/ HTTP/1.1\r\nHost: a.example\r\nexpiry-ms: 5000\r\nconnection: close\r\n${header}content-length: 2\r\n\r\nhi`;
@@ -53,7 +53,7 @@
     await front.close();
   });
 
-  it('are refused with a time to come again when no replica ran them, after no more tries than allowed', async () => {
+  it('are refused with a retry-after time when no replica ran them, after no more attempts than allowed', async () => {
     const full = (socket: { write(text: string): boolean }, head: string): boolean =>
       socket.write(answer(head, '503 Full', 'not-run: 1\r\n', ''));
     const front = await TestFront.open(full, full, full);
@@ -64,7 +64,7 @@
     await front.close();
   });
 
-  it('are no promise when a replica refuses without its word that it did not run', async () => {
+  it('are not refused when a replica refuses without stating that it did not run them', async () => {
     for (const status of ['503 Odd', '429 Odd', '421 Odd', '408 Odd']) {
       const wordless = (socket: { write(text: string): boolean }, head: string): boolean => socket.write(answer(head, status, '', ''));
       const front = await TestFront.open(wordless, wordless);
@@ -78,7 +78,7 @@
     let resets = 0;
     const reset = (socket: { resetAndDestroy(): unknown; write(text: string): boolean }, head: string): void => {
       resets += 1;
-      // The first connection of each task is reset.
+      // The first connection of each request is reset.
       if (resets !== 2) socket.resetAndDestroy();
       if (resets === 2) socket.write(answer(head, '200 OK', 'seal: x\r\n', 'again'));
     };
@@ -90,7 +90,7 @@
     await front.close();
   });
 
-  it('go on after a connect that failed, which sent nothing', async () => {
+  it('are sent to another replica after a failed connect, which sent nothing', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'ok')));
     const value = { service: 's', address: '127.0.0.1:1', slots: 4, incarnation: 1, instance: 'gone', state: 'serving' };
     front.routingState.take([{ key: 'replica/s/gone', version: [1, 0], volatile: false, value }]);
@@ -99,10 +99,10 @@
   });
 });
 
-describe('a front that has just started', () => {
+describe('a proxy that has just started', () => {
   const ok: Parameters<typeof TestFront.starting>[1] = (socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'ok'));
 
-  it('holds what comes until it knows where to send it', async () => {
+  it('holds requests until it knows where to send them', async () => {
     const front = await TestFront.starting(60_000, ok);
     const response = front.send('/w/', 't1');
     while (front.held === 0) await setImmediate();
@@ -112,7 +112,7 @@
     await front.close();
   });
 
-  it('refuses at once when it is not starting any more, and what has no time of its own', async () => {
+  it('refuses at once when its start is over, and requests without a deadline', async () => {
     const late = await TestFront.starting(0, ok);
     expect(statusOf(await late.send('/w/', 't1'))).toEqual('503');
     await late.close();
@@ -124,7 +124,7 @@
 });
 
 describe('streams', () => {
-  it('go on at another replica after their last event, inside one return with the first head', async () => {
+  it('are resumed at another replica after their last event, within one response with the first head', async () => {
     const instances: string[] = [];
     const front = await TestFront.open(
       ...[0, 1].map(
@@ -132,7 +132,7 @@
           instances.push(instanceOf(head));
           const after = /last-event-id: (\d+)/i.exec(head)?.[1];
           if (after === undefined) {
-            // Half an event, then the end: only whole ones may be passed on.
+            // Half an event, then the end: only complete ones may be passed on.
             socket.end(streamHead(head) + chunk(event(1) + event(2)) + chunk('id: 3\ndata: ha'));
             return;
           }
@@ -149,7 +149,7 @@
     await front.close();
   });
 
-  it('go on past a replica that would not continue them, whose connection is kept', async () => {
+  it('are resumed past a replica that refuses to resume them, whose connection is kept', async () => {
     let resumed = 0;
     const act = (socket: { write(text: string): boolean; end(text: string): unknown }, head: string): void => {
       if (!/last-event-id/i.test(head)) return void socket.end(streamHead(head) + chunk(event(1)));
@@ -165,7 +165,7 @@
     await front.close();
   });
 
-  it('that cannot go on end as visibly broken', async () => {
+  it('that cannot be resumed end with a connection closed early', async () => {
     const front = await TestFront.open((socket, head) => socket.end(streamHead(head) + chunk(event(1))));
     const response = await front.send('/s/', 't1');
     expect(response.includes('data: e1')).toEqual(true);
@@ -173,7 +173,7 @@
     await front.close();
   });
 
-  it('are broken off where an event comes twice or is missing after a continuation', async () => {
+  it('are cut where an event is repeated, or missing after a resumption', async () => {
     const twice = await TestFront.open((socket, head) => socket.write(streamHead(head) + chunk(event(1) + event(1)) + '0\r\n\r\n'));
     const response = await twice.send('/s/', 't1');
     expect(response.endsWith('0\r\n\r\n')).toEqual(false);
--- a/programs/proxy/test/replicaSelector.test.ts
+++ b/programs/proxy/test/replicaSelector.test.ts
@@ -8,9 +8,9 @@
 const service = v.parse(ServiceName, 's');
 const never = new AbortController().signal;
 
-function choiceOf(front: string): ReplicaSelector {
+function selectorOf(proxy: string): ReplicaSelector {
   const clock = new SystemClock();
-  const routingState = new RoutingState({ front: v.parse(NodeName, front), instance: front, clock });
+  const routingState = new RoutingState({ front: v.parse(NodeName, proxy), instance: proxy, clock });
   const configuration = v.parse(Configuration, {
     services: {
       s: { kind: 'streamed', idempotent: false, replicas: { maxSlots: 16 }, engine: { slots: 4, memoryTokens: 10_000 } },
@@ -30,76 +30,76 @@
   return new ReplicaSelector({
     clock,
     random: () => 0,
-    zone: front,
+    zone: proxy,
     tables: () => routingState.tables,
     inFlight: new InFlightCounts(),
     counters: new Counters(),
   });
 }
 
-function desired(parts: string) {
+function requestOf(parts: string) {
   return { ...selectionRequestOf(defaultHeaderNames, ['Tokens', '300,20', 'Prompt-Parts', parts], service, 5), without: new Set<string>() };
 }
 
-describe('the choice of a replica', () => {
-  it('is the same at fronts that do not talk, for tasks that share their prompt, and spreads those that do not', async () => {
-    const [one, other] = [choiceOf('front-1'), choiceOf('front-2')];
-    const places = new Set<string>();
+describe('the selection of a replica', () => {
+  it('is the same at proxies without communication for requests that share a prompt prefix, and spreads the others', async () => {
+    const [one, other] = [selectorOf('proxy-1'), selectorOf('proxy-2')];
+    const homes = new Set<string>();
     for (let text = 0; text < 20; text += 1) {
-      const first = await one.enter(desired(`${text}:200,a:100`), 0, never);
-      const second = await other.enter(desired(`${text}:200,b:100`), 0, never);
+      const first = await one.enter(requestOf(`${text}:200,a:100`), 0, never);
+      const second = await other.enter(requestOf(`${text}:200,b:100`), 0, never);
       expect(first?.key).toEqual(second?.key);
-      places.add(first?.key ?? '');
+      homes.add(first?.key ?? '');
       first?.leave('well');
       second?.leave('well');
     }
-    expect(places.size > 3).toEqual(true);
+    expect(homes.size > 3).toEqual(true);
   });
 
-  it('spills from the place of a shared part when that is full, and no further than to the next', async () => {
-    const selector = choiceOf('front-1');
-    const selected = await Promise.all(Array.from({ length: 5 }, () => selector.enter(desired('5c1e:200,a:100'), 0, never)));
+  it('goes to the second replica in the rendezvous order when the home is overloaded, and no further', async () => {
+    const selector = selectorOf('proxy-1');
+    const selected = await Promise.all(Array.from({ length: 5 }, () => selector.enter(requestOf('5c1e:200,a:100'), 0, never)));
     const keys = selected.map((selected) => selected?.key);
     expect(new Set(keys).size).toEqual(2);
     expect(keys[0]).toEqual(keys[1]);
   });
 
-  it('leaves a replica that failed alone, and spreads tasks by the memory they take', async () => {
-    const selector = choiceOf('front-1');
-    const hurt = await selector.enter(desired(''), 0, never);
-    hurt?.leave('hurt');
-    const selected = await Promise.all(Array.from({ length: 10 }, () => selector.enter(desired(''), 0, never)));
-    expect(selected.some((selected) => selected?.key === hurt?.key)).toEqual(false);
-    const big = { ...desired(''), promptTokens: 8_000, outputTokens: 900 };
-    const full = choiceOf('front-2');
+  it('ejects a replica that failed, and spreads requests by the memory they need', async () => {
+    const selector = selectorOf('proxy-1');
+    const failed = await selector.enter(requestOf(''), 0, never);
+    failed?.leave('hurt');
+    const selected = await Promise.all(Array.from({ length: 10 }, () => selector.enter(requestOf(''), 0, never)));
+    expect(selected.some((selected) => selected?.key === failed?.key)).toEqual(false);
+    const big = { ...requestOf(''), promptTokens: 8_000, outputTokens: 900 };
+    const full = selectorOf('proxy-2');
     const taken = await Promise.all(Array.from({ length: 7 }, () => full.enter(big, 0, never)));
     expect(new Set(taken.slice(0, 6).map((selected) => selected?.key)).size).toEqual(6);
-    // No memory is left; with no time to wait, a replica is asked all the same.
+    // No memory is left; with no time to wait, a live request is offered to a replica all the same.
     expect(taken[6]).not.toEqual(undefined);
   });
 
-  it('gives lots no place that live tasks may want', async () => {
-    const selector = choiceOf('front-1');
-    const selected = await Promise.all(Array.from({ length: 30 }, () => selector.enter({ ...desired(''), kind: 'batch' }, 0, never)));
+  it('leaves the live reserve free of batch items', async () => {
+    const selector = selectorOf('proxy-1');
+    const selected = await Promise.all(Array.from({ length: 30 }, () => selector.enter({ ...requestOf(''), kind: 'batch' }, 0, never)));
     expect(selected.filter((selected) => selected !== undefined).length).toEqual(18);
   });
 
-  it('keeps lots and live tasks in one book, and gives a freed place to the item that is due first', async () => {
-    const selector = choiceOf('front-1');
-    const live = await Promise.all(Array.from({ length: 18 }, () => selector.enter(desired(''), 0, never)));
-    // Live tasks may have crowded some replicas and left others room.
-    const batches = await Promise.all(Array.from({ length: 30 }, () => selector.enter({ ...desired(''), kind: 'batch' }, 0, never)));
-    const at = (selected: typeof live, key: string) => selected.filter((selected) => selected?.key === key).length;
+  it('counts batch items and live requests together, and gives a released slot to the item with the earliest deadline', async () => {
+    const selector = selectorOf('proxy-1');
+    const live = await Promise.all(Array.from({ length: 18 }, () => selector.enter(requestOf(''), 0, never)));
+    // Live requests may have filled some replicas and left others free.
+    const batches = await Promise.all(Array.from({ length: 30 }, () => selector.enter({ ...requestOf(''), kind: 'batch' }, 0, never)));
+    const countAt = (selected: typeof live, key: string) => selected.filter((selected) => selected?.key === key).length;
     for (const key of Array.from({ length: 6 }, (_, position) => `life-${position}`))
-      expect(at(batches, key)).toEqual(Math.max(0, 3 - at(live, key)));
-    const came: number[] = [];
+      expect(countAt(batches, key)).toEqual(Math.max(0, 3 - countAt(live, key)));
+    const served: number[] = [];
     const waiting = [30, 10, 20].map((dueAtMs) =>
       selector
-        .enter({ ...desired(''), kind: 'batch', dueAtMs }, 5000, never)
-        .then((selected) => selected !== undefined && came.push(dueAtMs)),
+        .enter({ ...requestOf(''), kind: 'batch', dueAtMs }, 5000, never)
+        .then((selected) => selected !== undefined && served.push(dueAtMs)),
     );
     for (const selected of live) selected?.leave('well');
     await Promise.all(waiting);
-    expect(came).toEqual([10, 20, 30]);
+    expect(served).toEqual([10, 20, 30]);
   });
 });
--- a/programs/proxy/test/routeTable.test.ts
+++ b/programs/proxy/test/routeTable.test.ts
@@ -6,7 +6,7 @@
 
 const route = (host: string, prefix: string, services = [{ service: 's', weight: 1 }]) => ({ host, prefix, kind: 'whole', services });
 
-describe('the table of routes', () => {
+describe('the route table', () => {
   const routeTable = new RouteTable(
     v.parse(Configuration, {
       services: {},
@@ -25,7 +25,7 @@
   );
   const nameOf = (host: string, url: string): string | undefined => routeTable.find(host, url)?.name;
 
-  it('finds the longest prefix that begins the path, whatever the case and port of the host', () => {
+  it('finds the longest prefix of the path, whatever the case and port of the host', () => {
     expect(nameOf('A.example:8080', '/x/y/z?q=/x/y/w/')).toEqual('deep');
     expect(nameOf('a.example', '/x/yy/?/x/y/')).toEqual('near');
     expect(nameOf('a.example', '/x')).toEqual('root');
@@ -41,8 +41,8 @@
   });
 });
 
-describe('the cutter of events', () => {
-  it('gives whole events with their bytes, however they were split on the way', () => {
+describe('the event cutter', () => {
+  it('gives complete events with their bytes, however the stream was split into chunks', () => {
     const text = 'weight: 3\nid: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: word\n\nid: 3\nda';
     for (let size = 1; size <= text.length; size += 1) {
       const cutter = new EventCutter();
