--- a/programs/proxy/src/forwarding/forwarder.ts
+++ b/programs/proxy/src/forwarding/forwarder.ts
@@ -74,7 +74,7 @@
     if (task.input.length > rule.maxTaskBytes) return { kind: 'refused', status: 413, reason: 'the task is too large' };
     const expectedOutput = outputTokens.get(task.service) ?? rule.outputTokens;
     const tokens = Math.ceil(task.input.length / rule.bytesPerToken + expectedOutput);
-    this.#retries.task(configuration.bounds.retryRatio);
+    this.#retries.requestBegun(configuration.bounds.retryRatio);
     return { kind: 'admitted', quota: quota.value, rule, cost: { requests: 1, tokens } };
   }
 }
--- a/programs/proxy/src/forwarding/proxyHandler.ts
+++ b/programs/proxy/src/forwarding/proxyHandler.ts
@@ -56,7 +56,7 @@
   /** Holds a request for a moment if this proxy has just started and cannot know its route yet. */
   async started(request: ProxiedRequest, abort: AbortSignal): Promise<void> {
     const clientMs = Number(headerOf(request.headers, this.#options.headerNames.expiryMs) ?? Number.NaN);
-    if (clientMs > 0) await this.#gate.pass(clientMs * startRatio, abort);
+    if (clientMs > 0) await this.#gate.wait(clientMs * startRatio, abort);
   }
 
   /** Requests so held. */
@@ -84,7 +84,7 @@
 
   /** Call when the routing tables changed: lets held requests go, and aborts attempts at replicas that are gone where that is safe. */
   look(): void {
-    this.#gate.look();
+    this.#gate.routingChanged();
     this.#registry.abortGone();
   }
 
@@ -94,7 +94,7 @@
       this.#responses.refuse(writer, plan);
       return Promise.resolve();
     }
-    this.#retries.task(plan.retryRatio);
+    this.#retries.requestBegun(plan.retryRatio);
     const shared = { ...this.#options, registry: this.#registry, retries: this.#retries, responses: this.#responses };
     return new RequestForwarding(shared, plan, { request, writer, abort }).run();
   }
--- a/programs/proxy/src/forwarding/requestForwarding.ts
+++ b/programs/proxy/src/forwarding/requestForwarding.ts
@@ -157,7 +157,7 @@
     const { isIdempotent, route } = this.#plan;
     if (!isIdempotent || this.#sentCount + 1 >= route.attempts) return false;
     if (this.#stream.isBegun && this.#stream.lastId === undefined) return false;
-    return selector.offers(this.#selection) && retries.take();
+    return selector.offers(this.#selection) && retries.takeRetry();
   }
 
   /** An attempt that the deadline or the client's disconnection ended is no evidence about the replica. */
--- a/programs/proxy/src/forwarding/startGate.ts
+++ b/programs/proxy/src/forwarding/startGate.ts
@@ -31,7 +31,7 @@
   }
 
   /** Resolves once the proxy is ready, after `waitMs`, or when aborted. */
-  pass(waitMs: number, abort: AbortSignal): Promise<void> {
+  wait(waitMs: number, abort: AbortSignal): Promise<void> {
     const { clock, ready } = this.#options;
     const maxMs = Math.min(waitMs, this.#untilMs - clock.nowMs());
     if (maxMs <= 0 || abort.aborted || this.#held.size >= maxHeld || ready()) return Promise.resolve();
@@ -49,7 +49,7 @@
   }
 
   /** Call when the routing tables changed. */
-  look(): void {
+  routingChanged(): void {
     if (this.#held.size === 0 || !this.#options.ready()) return;
     for (const release of [...this.#held]) release();
   }
--- a/programs/proxy/src/forwarding/taskForwarding.ts
+++ b/programs/proxy/src/forwarding/taskForwarding.ts
@@ -84,7 +84,7 @@
 
   #mayRetry(): boolean {
     const { slotPool, retries } = this.#options;
-    return slotPool.offers(this.#client.task.service, this.#failedAt) && retries.take();
+    return slotPool.offers(this.#client.task.service, this.#failedAt) && retries.takeRetry();
   }
 
   #waitForSlot(): ReturnType<SlotPool['enter']> {
--- a/programs/proxy/src/forwarding/upstreamAttempt.ts
+++ b/programs/proxy/src/forwarding/upstreamAttempt.ts
@@ -174,7 +174,7 @@
       this.#bytes += bytes.length;
       accepted.push(bytes);
     }
-    if (this.#cutter.held.length > rule.maxReturnBytes) fault = 'an event is too large';
+    if (this.#cutter.incomplete.length > rule.maxReturnBytes) fault = 'an event is too large';
     if (accepted.length > 0) {
       read();
       this.#write(Buffer.concat(accepted));
@@ -215,7 +215,7 @@
   #completeStream(): void {
     this.#begin();
     // Bytes after the last blank line are part of the body too.
-    const rest = this.#cutter.held;
+    const rest = this.#cutter.incomplete;
     this.#options.writer.end(rest.length > 0 ? rest : undefined);
     this.#finish({ kind: 'streamed' });
   }
--- a/programs/proxy/src/selection/outlierEjection.ts
+++ b/programs/proxy/src/selection/outlierEjection.ts
@@ -15,6 +15,8 @@
   isProbing: boolean;
 }
 
+type Failure = Exclude<AttemptOutcome, 'well' | 'unknown'>;
+
 /** Backoff of an ejection as ratios of the failure timeout: doubled from `first` with each consecutive failure up to `longest`. */
 interface Backoff {
   readonly first: number;
@@ -23,6 +25,8 @@
 
 const failureBackoff: Backoff = { first: 0.05, longest: 2 };
 const overloadBackoff: Backoff = { first: 0.02, longest: 0.1 };
+/** Counter names stay as they are when the outcomes are renamed. */
+const counterNames: Readonly<Record<Failure, string>> = { hurt: 'replica.hurt', full: 'replica.full', poor: 'replica.poor' };
 /** This many suspect outcomes in a row count as failures of the replica. */
 const maxSuspect = 3;
 
@@ -59,8 +63,8 @@
     if (outcome === 'well') {
       this.#suspectCounts.delete(key);
       this.#ejections.delete(key);
-    } else if (this.#isFailure(key, outcome)) this.#eject(key, outcome);
-    else this.#endProbe(key);
+    } else if (outcome === 'unknown' || !this.#isConfirmed(key, outcome)) this.#endProbe(key);
+    else this.#eject(key, outcome);
   }
 
   /** Forgets replicas that are gone. */
@@ -68,8 +72,8 @@
     for (const states of [this.#ejections, this.#suspectCounts]) for (const key of states.keys()) if (!keys.has(key)) states.delete(key);
   }
 
-  #isFailure(key: string, outcome: AttemptOutcome): boolean {
-    if (outcome === 'unknown') return false;
+  /** Whether the replica is the cause: a suspect outcome is confirmed by others before it. */
+  #isConfirmed(key: string, outcome: Failure): boolean {
     if (outcome !== 'poor') return true;
     const count = (this.#suspectCounts.get(key) ?? 0) + 1;
     this.#suspectCounts.set(key, count);
@@ -81,7 +85,7 @@
     if (ejection !== undefined) ejection.isProbing = false;
   }
 
-  #eject(key: string, outcome: AttemptOutcome): void {
+  #eject(key: string, outcome: Failure): void {
     const { clock, counters, failureTimeoutMs } = this.#options;
     const nowMs = clock.nowMs();
     const before = this.#ejections.get(key);
@@ -91,6 +95,6 @@
     const { first, longest } = outcome === 'full' ? overloadBackoff : failureBackoff;
     const ratio = Math.min(longest, first * 2 ** (consecutiveFailures - 1));
     this.#ejections.set(key, { consecutiveFailures, untilMs: nowMs + failureTimeoutMs() * ratio, isProbing: false });
-    counters.add(`replica.${outcome}`);
+    counters.add(counterNames[outcome]);
   }
 }
--- a/programs/proxy/src/selection/retryBudget.ts
+++ b/programs/proxy/src/selection/retryBudget.ts
@@ -6,12 +6,12 @@
   #available = maxAttempts;
 
   /** Counts a request, which earns `ratio` of a retry. */
-  task(ratio: number): void {
+  requestBegun(ratio: number): void {
     this.#available = Math.min(maxAttempts, this.#available + ratio);
   }
 
   /** Spends one retry; false when there is none. */
-  take(): boolean {
+  takeRetry(): boolean {
     if (this.#available < 1) return false;
     this.#available -= 1;
     return true;
--- a/programs/proxy/test/routeTable.test.ts
+++ b/programs/proxy/test/routeTable.test.ts
@@ -54,7 +54,7 @@
         { text: 'id:2\r\ndata: b\r\n\r\n', id: '2' },
         { text: ': word\n\n', id: undefined },
       ]);
-      expect(cutter.held.toString()).toEqual('id: 3\nda');
+      expect(cutter.incomplete.toString()).toEqual('id: 3\nda');
     }
   });
 });
