--- a/programs/proxy/src/forwarding/upstreamAttempt.ts
+++ b/programs/proxy/src/forwarding/upstreamAttempt.ts
@@ -96,7 +96,7 @@
     return this.#isPaused;
   }
 
-  /** Ends the attempt because its time is over or its client disconnected: no fault of the replica if it has begun to respond. */
+  /** Ends the attempt because its time is over or its client disconnected: `silent` without a response so far, else `broken`. */
   giveUp(reason: string): void {
     this.#stop({ kind: this.hasResponse ? 'broken' : 'silent', reason });
   }
--- a/programs/proxy/src/forwarding/watchAttempt.ts
+++ b/programs/proxy/src/forwarding/watchAttempt.ts
@@ -25,7 +25,7 @@
 /** Awaits the end of an attempt, bounded by the deadline, the client's connection and the replica's silence. */
 export async function watchAttempt(options: WatchAttemptOptions): Promise<AttemptEnd> {
   const { clock, registry, attempt, abort, isIdempotent, untilMs, overdueMs, overdue } = options;
-  const leave = (): void => attempt.giveUp('the downstream left');
+  const leave = (): void => attempt.giveUp('the client disconnected');
   abort.addEventListener('abort', leave);
   const cancels = [
     clock.after(Math.max(0, untilMs - clock.nowMs()), () => attempt.giveUp('out of time')),
