--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -21,7 +21,7 @@
     scenario: 'booksBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'if (!rule.idempotent && !notRun)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/taskForwarding.js`, text: 'if (!rule.idempotent && !isNotRun)', instead: 'if (false)' }],
   },
   {
     name: 'lostItems',
@@ -58,7 +58,7 @@
     scenario: 'modelsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'ran ||= !notRun;', instead: '' }],
+    edits: [{ file: `${proxy}/forwarding/taskForwarding.js`, text: 'this.#mayHaveRun ||= !isNotRun;', instead: '' }],
   },
   {
     name: 'cutIsNoEnd',
@@ -68,10 +68,9 @@
     ci: true,
     edits: [
       {
-        file: `${proxy}/forwarding/forwarder.js`,
-        text: `return {
-                        result: { kind: 'cut', reason`,
-        instead: "return { result: { kind: 'streamed', reason",
+        file: `${proxy}/forwarding/taskForwarding.js`,
+        text: "const result = { kind: 'cut', reason };",
+        instead: "const result = { kind: 'streamed', reason };",
       },
     ],
   },
@@ -81,7 +80,7 @@
     scenario: 'streamsBreak',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/forwarding/forwarder.js`, text: 'if (pieces > 0)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/taskForwarding.js`, text: 'if (this.#pieceCount > 0)', instead: 'if (false)' }],
   },
   {
     name: 'leavingIsNotRouted',
@@ -92,7 +91,7 @@
     edits: [
       { file: `${proxy}/updates/routingState.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
       // A replica that says nothing more is left for last, which holds this rule too.
-      { file: `${proxy}/selection/slotPool.js`, text: 'fit.filter((row) => !row.late)', instead: 'fit' },
+      { file: `${proxy}/selection/slotPool.js`, text: 'fitting.filter((row) => !row.late)', instead: 'fitting' },
     ],
   },
   {
@@ -299,7 +298,11 @@
     scenario: exchanges,
     seeds: [1, 2, 3],
     edits: [
-      { file: `${proxy}/connections/connectionPool.js`, text: 'if (headerOf(raw, this.#options.idHeader) !== id)', instead: 'if (false)' },
+      {
+        file: `${proxy}/connections/pooledRequest.js`,
+        text: 'if (headerOf(raw, this.#options.idHeader) !== this.#options.id)',
+        instead: 'if (false)',
+      },
     ],
   },
   {
@@ -307,7 +310,7 @@
     rule: 'an unrepeatable task runs twice',
     scenario: exchanges,
     seeds: [1, 2, 3],
-    edits: [{ file: `${proxy}/forwarding/proxyHandler.js`, text: 'if (progress.ran && !idempotent)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/forwarding/requestForwarding.js`, text: 'if (this.#mayHaveRun && !isIdempotent)', instead: 'if (false)' }],
   },
   {
     name: 'wordlessRefusal',
