--- a/packages/model/src/configuration/bounds.ts
+++ b/packages/model/src/configuration/bounds.ts
@@ -1,39 +1,49 @@
 import * as v from 'valibot';
-import { Count } from '../schema/count.js';
+import { Count } from '../schema/index.js';
 
 const Ratio = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 const Milliseconds = v.pipe(Count, v.minValue(1), v.maxValue(3_600_000));
 
-/** Bounds that operators set for the whole fleet. What is not named here is a ratio to one of these. */
+/** Time limits, ratios and sizes that operators set for the whole fleet; every other constant is a ratio to one of these. */
 export const Bounds = v.strictObject({
-  /** A front carries tasks only while it heard from the setup's owner within this. */
+  /** A proxy serves only while it heard from the leader of the configuration within this time. Milliseconds, 5000 by default. */
   freshnessMs: v.optional(Milliseconds, 5000),
-  /** A replica that did not announce itself for so long is gone. */
+  /** A replica that sent no heartbeat for so long is removed. Milliseconds, 5000 by default. */
   replicaFailureTimeoutMs: v.optional(Milliseconds, 5000),
+  /** Period of the dispatcher. Milliseconds, 250 by default. */
   tickMs: v.optional(Milliseconds, 250),
-  /** Items that may be with fronts at once, whatever room there is. */
+  /** Batch items that proxies may hold at once, however many slots are free. 200 by default. */
   batchConcurrencyLimit: v.optional(Count, 200),
-  /** The part of all slots that lots may always use, and the part kept free of lots for live tasks. */
+  /** Part of all slots that batch items may always use. 0 to 1, 0.05 by default. */
   batchFloorRatio: v.optional(Ratio, 0.05),
+  /** Part of all slots that is kept free of batch items, for live requests. 0 to 1, 0.1 by default. */
   liveReserve: v.optional(Ratio, 0.1),
-  /** How much of a minute's share waiting work may hold at once; less than a tenth, for items start a little after they were reserved. */
+  /**
+   * Part of one minute's quota that batch items may reserve at once. 0 to 0.1, 0.05 by default: items start a little after their
+   * reservation, so that more would exceed the quota by more than a tenth.
+   */
   waitingRatio: v.optional(v.pipe(Ratio, v.maxValue(0.1, 'waiting work would overrun its share by more than a tenth')), 0.05),
+  /** Part of one minute's quota that live requests may reserve at once. 0 to 1, 0.5 by default. */
   liveRatio: v.optional(Ratio, 0.5),
-  /** The part of the ceiling that fronts may use on their own, all together. */
+  /** Part of the fleet's ceiling that all proxies together may use while they cannot reach the dispatcher. 0 to 1, 0.5 by default. */
   fallbackRatio: v.optional(Ratio, 0.5),
+  /** Number of proxies among which that part is divided. 7 by default. */
   fronts: v.optional(v.pipe(Count, v.minValue(1)), 7),
-  /** An item left DISPATCHED for so long goes back. */
+  /** An item that is DISPATCHED for so long without a start returns to its queue. Milliseconds, 5000 by default. */
   staleMs: v.optional(Milliseconds, 5000),
-  /** Between an item's start and its first byte to a replica. */
+  /** Longest time from an item's start to its first byte to a replica. Milliseconds, 500 by default. */
   startWindowMs: v.optional(Milliseconds, 500),
+  /** Longest backoff of an item that its quota holds back. Milliseconds, 900,000 (15 minutes) by default. */
   requeueCapMs: v.optional(Milliseconds, 900_000),
+  /** Times that an item may return to its queue before it is FAILED. 500 by default. */
   requeueAttempts: v.optional(Count, 500),
-  /** Tasks that may wait in one front. */
+  /** Requests that may wait in one proxy. 256 by default. */
   queue: v.optional(Count, 256),
-  /** Tries beyond the first, as a part of all tasks. */
+  /** Retries, as a part of all requests. 0 to 1, 0.2 by default. */
   retryRatio: v.optional(Ratio, 0.2),
-  /** A lot whose items are all final is kept so long after it was handed in; so is its key. */
+  /** A completed batch and its idempotency key are kept so long after its submission. Milliseconds, 86,400,000 (a day) by default. */
   batchKeepMs: v.optional(v.pipe(Count, v.minValue(60_000)), 86_400_000),
+  /** Items in one batch. 1000 by default. */
   maxItems: v.optional(Count, 1000),
 });
 export type Bounds = v.InferOutput<typeof Bounds>;
--- a/packages/model/src/configuration/configurationFormat1.ts
+++ b/packages/model/src/configuration/configurationFormat1.ts
@@ -1,6 +1,6 @@
-import type { FieldRenamings } from '../documents/fieldRenamings.js';
+import type { FieldRenamings } from '../documents/index.js';
 
-/** Fields of a configuration as version 1 of its format named them. Operators' documents may use them for one version more. */
+/** Renamings from version 1 of the configuration's format, which operators' documents may use for one more version. */
 export const configurationFormat1: FieldRenamings = {
   branches: 'quotas',
   lotShards: 'batchShards',
--- a/packages/model/src/configuration/place.ts
+++ b/packages/model/src/configuration/place.ts
@@ -1,7 +1,6 @@
 import * as v from 'valibot';
-import { Address } from '../names/address.js';
-import { ZoneName } from '../names/zoneName.js';
+import { Address, ZoneName } from '../names/index.js';
 
-/** Where a machine that keeps files is. */
+/** Address and zone of a controller or store machine. */
 export const Place = v.strictObject({ address: Address, zone: ZoneName });
 export type Place = v.InferOutput<typeof Place>;
--- a/packages/model/src/documents/mergePatch.ts
+++ b/packages/model/src/documents/mergePatch.ts
@@ -1,6 +1,6 @@
-import { isFields } from '../schema/isFields.js';
+import { isFields } from '../schema/index.js';
 
-/** JSON Merge Patch (RFC 7396): null takes a field away, objects merge, all else replaces. */
+/** Applies a JSON Merge Patch (RFC 7396): null removes a field, objects merge, any other value replaces. Changes neither argument. */
 export function mergePatch(target: unknown, patch: unknown): unknown {
   if (!isFields(patch)) return patch;
   const merged = new Map<string, unknown>(isFields(target) ? Object.entries(target) : []);
--- a/packages/model/src/documents/mergePatchBetween.ts
+++ b/packages/model/src/documents/mergePatchBetween.ts
@@ -1,25 +1,28 @@
-import { isFields } from '../schema/isFields.js';
+import { isFields } from '../schema/index.js';
 
-/** The merge patch that makes `after` of `before`; undefined where none can, for a patch cannot say null. */
+/**
+ * The JSON Merge Patch (RFC 7396) that turns `before` into `after`; undefined where there is none, since a patch cannot set a field to
+ * null.
+ */
 export function mergePatchBetween(before: unknown, after: unknown): unknown {
-  if (!isFields(before) || !isFields(after)) return plain(after);
+  if (!isFields(before) || !isFields(after)) return withoutNulls(after);
   const patch = new Map<string, unknown>();
   for (const [key, value] of Object.entries(before)) if (value !== undefined && after[key] === undefined) patch.set(key, null);
   for (const [key, value] of Object.entries(after)) {
-    const held = before[key];
-    if (value === undefined || held === value) continue;
-    // Large documents are gone through once: fields are compared by what their patch would hold.
-    const both = isFields(held) && isFields(value);
-    if (!both && JSON.stringify(held) === JSON.stringify(value)) continue;
-    const change = mergePatchBetween(held, value);
+    const previous = before[key];
+    if (value === undefined || previous === value) continue;
+    // Objects are not compared as text first: on each level of a large document that would go through all of it again.
+    const bothObjects = isFields(previous) && isFields(value);
+    if (!bothObjects && JSON.stringify(previous) === JSON.stringify(value)) continue;
+    const change = mergePatchBetween(previous, value);
     if (change === undefined) return undefined;
-    if (!both || (isFields(change) && Object.keys(change).length > 0)) patch.set(key, change);
+    if (!bothObjects || (isFields(change) && Object.keys(change).length > 0)) patch.set(key, change);
   }
   return Object.fromEntries(patch);
 }
 
-/** What takes the place of something else; a null among its fields would be lost on the way. */
-function plain(after: unknown): unknown {
+/** The patch for a value that replaces another; undefined where it holds a null, which a patch takes for a removal. */
+function withoutNulls(after: unknown): unknown {
   if (after === null) return undefined;
   return isFields(after) ? mergePatchBetween({}, after) : after;
 }
--- a/packages/model/src/documents/renameFields.ts
+++ b/packages/model/src/documents/renameFields.ts
@@ -1,9 +1,9 @@
 import type { FieldRenamings } from './fieldRenamings.js';
-import { isFields } from '../schema/isFields.js';
+import { isFields } from '../schema/index.js';
 
 /**
- * Renames fields of a value that an older version wrote. What the table does not name stays as it is, so a value of the newer
- * format comes out unchanged. A field whose new name is taken already keeps its old one: the schema then reports it by name.
+ * Renames the fields of a value that an older version wrote. Fields that the table does not name stay, so that a value of the newer
+ * format is returned unchanged. A field whose new name is taken keeps its old one, and the schema reports it under that name.
  */
 export function renameFields(value: unknown, renamings: FieldRenamings): unknown {
   if (Array.isArray(value)) return value.map((element) => renameFields(element, renamings));
--- /dev/null
+++ b/packages/model/src/hashing/index.ts
@@ -0,0 +1,3 @@
+export * from './hashOf.js';
+export * from './rendezvous.js';
+export * from './shardOf.js';
--- a/packages/model/src/hashing/rendezvous.ts
+++ b/packages/model/src/hashing/rendezvous.ts
@@ -1,6 +1,6 @@
 import { hashOf } from './hashOf.js';
 
-/** Orders names for a key so that taking one away moves nobody else: the highest hash of both comes first. */
+/** Rendezvous (highest random weight) hashing: the names in order of preference for a key. Removing a name keeps the others' order. */
 export function rendezvous<N extends string>(key: string, names: readonly N[]): readonly N[] {
   return names
     .map((name) => ({ name, position: hashOf(`${key}\u0000${name}`) }))
--- a/packages/model/src/names/batchId.ts
+++ b/packages/model/src/names/batchId.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
 
+/** Identifies a batch; the client chooses it. */
 export const BatchId = v.pipe(
   v.string(),
   v.minLength(1),
--- a/packages/model/src/names/itemId.ts
+++ b/packages/model/src/names/itemId.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
 
+/** Identifies an item within its batch; the client chooses it. */
 export const ItemId = v.pipe(
   v.string(),
   v.minLength(1),
--- a/packages/model/src/names/planId.ts
+++ b/packages/model/src/names/planId.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
 
+/** Identifies a planned configuration change until it is confirmed. */
 export const PlanId = v.pipe(
   v.string(),
   v.minLength(1),
--- a/packages/model/src/names/taskId.ts
+++ b/packages/model/src/names/taskId.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
 
+/** Identifies a live request; the client chooses it. */
 export const TaskId = v.pipe(
   v.string(),
   v.minLength(1),
--- a/packages/model/src/schema/finding.ts
+++ b/packages/model/src/schema/finding.ts
@@ -1,5 +1,6 @@
-/** Something wrong with what was handed in, and where. */
+/** One error of a validation. */
 export interface Finding {
+  /** Dotted path of the field, such as `routes.r1.timeoutMs`; empty for the whole value. */
   readonly place: string;
   readonly message: string;
 }
--- a/packages/model/src/services/engine.ts
+++ b/packages/model/src/services/engine.ts
@@ -1,13 +1,13 @@
 import * as v from 'valibot';
-import { Count } from '../schema/count.js';
+import { Count } from '../schema/index.js';
 
-/** What operators say of the engine behind a service's replicas. */
+/** Capacity of the inference engine in each replica of a service. */
 export const Engine = v.strictObject({
-  /** Tasks a replica works on at once. */
+  /** Requests that a replica runs at once. */
   slots: v.pipe(Count, v.minValue(1)),
-  /** Tokens that running tasks and kept prompt parts share. */
+  /** Memory, in tokens, that running requests and cached prompt prefixes share. */
   memoryTokens: v.pipe(Count, v.minValue(1)),
-  /** Tokens that one event of a stream carries at the most. */
+  /** Most tokens in one event of a stream. 1 by default. */
   eventTokens: v.optional(v.pipe(Count, v.minValue(1)), 1),
 });
 export type Engine = v.InferOutput<typeof Engine>;
--- /dev/null
+++ b/packages/model/src/services/index.ts
@@ -0,0 +1,4 @@
+export * from './engine.js';
+export * from './quotaRule.js';
+export * from './route.js';
+export * from './service.js';
--- a/packages/model/src/services/route.ts
+++ b/packages/model/src/services/route.ts
@@ -1,41 +1,47 @@
 import * as v from 'valibot';
-import { QuotaName } from '../names/quotaName.js';
-import { Count } from '../schema/count.js';
-import { ServiceName } from '../names/serviceName.js';
+import { QuotaName, ServiceName } from '../names/index.js';
+import { Count } from '../schema/index.js';
 
 const Milliseconds = v.pipe(Count, v.minValue(1), v.maxValue(86_400_000));
 
-/** Where opaque tasks go: those of one host whose path begins with the prefix. */
+/** A route of opaque requests: those to one host whose path begins with the prefix; the longest prefix wins. */
 export const Route = v.strictObject({
+  /** Host name of the request, without port, compared in lower case. */
   host: v.pipe(v.string(), v.minLength(1), v.maxLength(253), v.toLowerCase()),
-  /** Begins and ends with a slash, so that whole path segments match. */
+  /** Path prefix; begins and ends with a slash, so that whole path segments match. */
   prefix: v.pipe(v.string(), v.maxLength(2048), v.regex(/^\/([^?#\s]*\/)?$/, 'must begin and end with a slash')),
-  /** Streams of events, whole returns, or lots of tasks that are handed in and run later. */
+  /** `streamed`: responses are event streams; `whole`: one response each; `batch`: batches of items that run asynchronously. */
   kind: v.picklist(['streamed', 'whole', 'batch']),
-  /** Whether one try may run more than once. */
+  /** Whether a request may be executed more than once. False by default. */
   idempotent: v.optional(v.boolean(), false),
-  /** Whether a stream may be continued after its last event at another replica. */
+  /** Whether a broken stream may be resumed after its last event at another replica. False by default. */
   resumable: v.optional(v.boolean(), false),
-  /** The services that share its tasks, by gain; a gain of 0 gets none. */
+  /** Services among which requests are divided in proportion to the weights; a weight of 0 gets none. */
   services: v.pipe(v.array(v.strictObject({ service: ServiceName, weight: Count })), v.minLength(1)),
-  /** The longest that a task is held. */
+  /** Longest time that a request is held. Milliseconds, no limit by default. */
   timeoutMs: v.optional(Milliseconds),
-  /** Within it a return earns its full worth: the first event of a stream, the whole of a whole one, the acceptance of a lot. */
+  /**
+   * Latency target: of the first event of a stream, of a whole response, of the acceptance of a batch. Milliseconds, none by default.
+   */
   latencyTargetMs: v.optional(Milliseconds),
-  /** The longest pause between events at which a stream is still in time. */
+  /** Target for the longest gap between two events of a stream. Milliseconds, none by default. */
   gapMs: v.optional(Milliseconds),
-  /** 0 comes first. */
+  /** Priority, 0 (first) to 9, 5 by default. */
   urgency: v.optional(v.pipe(Count, v.maxValue(9)), 5),
-  /** Replicas that one try may be sent to at the most. */
+  /** Most replicas that one request is sent to. 1 by default: no retry. */
   attempts: v.optional(v.pipe(Count, v.minValue(1)), 1),
-  /** Tasks name the parts of their prompt, which replicas keep. */
+  /** Whether requests name their prompt prefixes, so that they go to replicas that have these cached. False by default. */
   sticky: v.optional(v.boolean(), false),
-  /** For lots: so long after it was sent all results are due, an item may be given up, and how many tokens may wait (0: no limit). */
+  /**
+   * For batches, counted from the submission: `dueMs` until all results are due, `retainMs` until an item may be abandoned (both in
+   * milliseconds, without default); `waitingTokens`: tokens that may wait, 0 (the default) for no limit.
+   */
   batch: v.optional(
     v.strictObject({ dueMs: v.optional(Milliseconds), retainMs: v.optional(Milliseconds), waitingTokens: v.optional(Count, 0) }),
   ),
+  /** The quota that its batches use. */
   quota: v.optional(QuotaName),
-  /** The operator's own words for this item, kept whole to be read back. */
+  /** The operator's own document of this route, kept unchanged to be read back. */
   sourceDocument: v.optional(v.unknown()),
 });
 export type Route = v.InferOutput<typeof Route>;
--- /dev/null
+++ b/packages/runtime/src/clock/index.ts
@@ -0,0 +1,4 @@
+export * from './clock.js';
+export * from './every.js';
+export * from './pause.js';
+export * from './systemClock.js';
--- a/packages/runtime/src/process/endOnSignal.ts
+++ b/packages/runtime/src/process/endOnSignal.ts
@@ -1,4 +1,4 @@
-import { errorLine } from '../logging/errorLine.js';
+import { errorLine } from '../logging/index.js';
 import type { Running } from './running.js';
 
 /** Ends a program politely when it is told to go, also while it is still starting. */
--- a/packages/runtime/src/process/runProgram.ts
+++ b/packages/runtime/src/process/runProgram.ts
@@ -1,9 +1,9 @@
 import type { Address } from '@pewterlanding/model';
-import type { BootSettings } from '../settings/bootSettings.js';
+import type { BootSettings } from '../settings/index.js';
 import { endOnSignal } from './endOnSignal.js';
-import { errorLine } from '../logging/errorLine.js';
+import { errorLine } from '../logging/index.js';
 import { FindingsError } from '@pewterlanding/model';
-import { readBootSettings } from '../settings/readBootSettings.js';
+import { readBootSettings } from '../settings/index.js';
 import type { Running } from './running.js';
 
 interface Program {
@@ -18,7 +18,7 @@
 }
 
 const flags = {
-  bootSettings: { type: 'string' },
+  boot: { type: 'string' },
   fleet: { type: 'string' },
   name: { type: 'string' },
   zone: { type: 'string' },
--- a/packages/runtime/src/process/startupTimeline.ts
+++ b/packages/runtime/src/process/startupTimeline.ts
@@ -1,5 +1,5 @@
-import type { Clock } from '../clock/clock.js';
-import type { Log } from '../logging/log.js';
+import type { Clock } from '../clock/index.js';
+import type { Log } from '../logging/index.js';
 import type { ReachedStage } from './reachedStage.js';
 import type { StartupStage } from './startupStage.js';
 
--- /dev/null
+++ b/packages/runtime/src/random/index.ts
@@ -0,0 +1,1 @@
+export * from './seededRandom.js';
--- /dev/null
+++ b/packages/runtime/src/settings/index.ts
@@ -0,0 +1,2 @@
+export * from './bootSettings.js';
+export * from './readBootSettings.js';
--- a/packages/runtime/src/storage/fileWatch.ts
+++ b/packages/runtime/src/storage/fileWatch.ts
@@ -1,7 +1,7 @@
 import { stat } from 'node:fs';
 import { promisify } from 'node:util';
-import type { Clock } from '../clock/clock.js';
-import { every } from '../clock/every.js';
+import type { Clock } from '../clock/index.js';
+import { every } from '../clock/index.js';
 
 // Node's own promises of files are loaded nowhere else on a machine without a disk.
 const readStat = promisify(stat);
--- a/packages/runtime/src/transport/call.ts
+++ b/packages/runtime/src/transport/call.ts
@@ -1,6 +1,6 @@
 import type * as v from 'valibot';
 
-/** What can be asked of another process: its name on the wire and the shapes of task and return. */
+/** A remote procedure: its name on the wire and the schemas of its request body (B) and its response body (R). */
 export interface Call<B, R> {
   readonly name: string;
   readonly body: v.GenericSchema<unknown, B>;
--- a/packages/runtime/src/transport/frame.ts
+++ b/packages/runtime/src/transport/frame.ts
@@ -1,7 +1,10 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
 
-/** One message on a circuit: a task that wants a return, a word that wants none, a return, or a refusal. */
+/**
+ * A message on a connection after the handshake. `ask`: a request that expects a response; `tell`: one that expects none; `back`: the
+ * response; `fail`: an error in its place, as text. `slot` and `gen` match a response to its request (see SlabKey).
+ */
 export const Frame = v.variant('kind', [
   v.strictObject({ kind: v.literal('ask'), slot: Count, gen: Count, call: v.string(), body: v.unknown() }),
   v.strictObject({ kind: v.literal('tell'), call: v.string(), body: v.unknown() }),
--- a/packages/runtime/src/transport/frameReader.ts
+++ b/packages/runtime/src/transport/frameReader.ts
@@ -1,35 +1,50 @@
-/** Cuts a stream of bytes into length-prefixed frames of bounded size. */
+import { TransportError } from './transportError.js';
+
+const lengthPrefixBytes = 4;
+
+/** Splits a stream of bytes into frames: a length of four bytes (big-endian), then so many bytes of payload. */
 export class FrameReader {
   readonly #maxBytes: number;
-  #held: Buffer[] = [];
-  #heldBytes = 0;
-  #wantBytes = -1;
+  #chunks: Buffer[] = [];
+  #bufferedBytes = 0;
+  /** Length of the payload that is being received; undefined while its length prefix is incomplete. */
+  #payloadBytes: number | undefined;
 
+  /** `maxBytes` bounds the payload of one frame. */
   constructor(maxBytes: number) {
     this.#maxBytes = maxBytes;
   }
 
-  /** Returns the payloads now complete; throws when a frame announces more than the bound. */
+  /** Returns the payloads that are complete with this chunk. Throws a TransportError when a frame is longer than the bound. */
   push(chunk: Buffer): readonly Buffer[] {
-    this.#held.push(chunk);
-    this.#heldBytes += chunk.length;
-    const whole: Buffer[] = [];
+    this.#chunks.push(chunk);
+    this.#bufferedBytes += chunk.length;
+    const payloads: Buffer[] = [];
     for (;;) {
-      if (this.#wantBytes < 0) {
-        if (this.#heldBytes < 4) return whole;
-        this.#wantBytes = this.#take(4).readUInt32BE(0);
-        if (this.#wantBytes > this.#maxBytes) throw new RangeError(`frame of ${this.#wantBytes} bytes`);
-      }
-      if (this.#heldBytes < this.#wantBytes) return whole;
-      whole.push(this.#take(this.#wantBytes));
-      this.#wantBytes = -1;
+      this.#payloadBytes ??= this.#readLength();
+      if (this.#payloadBytes === undefined || this.#bufferedBytes < this.#payloadBytes) return payloads;
+      payloads.push(this.#take(this.#payloadBytes));
+      this.#payloadBytes = undefined;
     }
   }
 
+  #readLength(): number | undefined {
+    if (this.#bufferedBytes < lengthPrefixBytes) return undefined;
+    const payloadBytes = this.#take(lengthPrefixBytes).readUInt32BE(0);
+    if (payloadBytes > this.#maxBytes) throw new TransportError('unreadable', `frame of ${payloadBytes} bytes`);
+    return payloadBytes;
+  }
+
   #take(lengthBytes: number): Buffer {
-    const all = this.#held.length === 1 && this.#held[0] !== undefined ? this.#held[0] : Buffer.concat(this.#held);
-    this.#held = all.length > lengthBytes ? [all.subarray(lengthBytes)] : [];
-    this.#heldBytes = all.length - lengthBytes;
-    return all.subarray(0, lengthBytes);
+    const buffered = this.#joined();
+    this.#chunks = buffered.length > lengthBytes ? [buffered.subarray(lengthBytes)] : [];
+    this.#bufferedBytes = buffered.length - lengthBytes;
+    return buffered.subarray(0, lengthBytes);
+  }
+
+  /** A single chunk, the usual case, is not copied. */
+  #joined(): Buffer {
+    const [first, ...others] = this.#chunks;
+    return first !== undefined && others.length === 0 ? first : Buffer.concat(this.#chunks);
   }
 }
--- a/packages/runtime/src/transport/requestTracker.ts
+++ b/packages/runtime/src/transport/requestTracker.ts
@@ -1,94 +1,121 @@
 import * as v from 'valibot';
+import type { Clock } from '../clock/index.js';
+import { errorLine } from '../logging/index.js';
+import type { Counters } from '../logging/index.js';
 import type { Call } from './call.js';
-import type { Clock } from '../clock/clock.js';
-import type { Counters } from '../logging/counters.js';
-import { errorLine } from '../logging/errorLine.js';
 import type { Frame } from './frame.js';
 import { Slab } from './slab.js';
 import { TransportError } from './transportError.js';
 
-interface Waiting<V> {
+type Handler = (body: unknown) => Promise<unknown>;
+type RequestFrame = Extract<Frame, { readonly kind: 'ask' | 'tell' }>;
+type ResponseFrame = Extract<Frame, { readonly kind: 'back' | 'fail' }>;
+
+/** A request that has neither a response nor an error yet. */
+interface PendingRequest<V> {
   readonly via: V;
   readonly call: string;
-  readonly take: (body: unknown) => void;
+  readonly complete: (body: unknown) => void;
   readonly fail: (error: TransportError) => void;
 }
 
-/** Tasks and returns matched through a slab, handlers by name, every body checked: what a wire does beside moving bytes. */
+/**
+ * Matches responses to requests, applies time limits and calls handlers, over any means of moving frames. `V` is what a response
+ * depends on, such as a connection. Bodies are checked by the schemas of their call on both sides.
+ */
 export class RequestTracker<V> {
   readonly #clock: Clock;
   readonly #counters: Counters;
-  readonly #handlers = new Map<string, (body: unknown) => Promise<unknown>>();
-  readonly #waiting = new Slab<Waiting<V>>();
+  readonly #handlers = new Map<string, Handler>();
+  readonly #pending = new Slab<PendingRequest<V>>();
 
   constructor(clock: Clock, counters: Counters) {
     this.#clock = clock;
     this.#counters = counters;
   }
 
+  /** Registers the handler of a call. What it throws goes back to the caller as one line of text. */
   serve<B, R>(call: Call<B, R>, handle: (body: B) => Promise<R>): void {
     this.#handlers.set(call.name, async (raw) => {
       const body = v.safeParse(call.body, raw);
       if (!body.success) {
         this.#counters.add('wire.unreadable');
-        throw new TransportError('unreadable', `${call.name}: ${body.issues[0].message}`);
+        throw unreadable(call.name, body.issues[0].message);
       }
       return handle(body.output);
     });
   }
 
-  /** `send` says whether the frame went out; `via` is what the return depends on. */
+  /** Sends a request over `via` and resolves with its response; `send` returns whether the frame went out. */
   ask<B, R>(via: V, send: (frame: Frame) => boolean, call: Call<B, R>, body: B, waitMs: number): Promise<R> {
     return new Promise<R>((resolve, reject) => {
-      let cancel = (): void => undefined;
-      const key = this.#waiting.put({
+      let cancelTimeout = (): void => undefined;
+      const key = this.#pending.put({
         via,
         call: call.name,
-        take: (raw) => {
-          cancel();
-          const read = v.safeParse(call.response, raw);
-          if (read.success) resolve(read.output);
-          else reject(new TransportError('unreadable', `${call.name}: ${read.issues[0].message}`));
+        complete: (raw) => {
+          cancelTimeout();
+          const response = v.safeParse(call.response, raw);
+          if (response.success) resolve(response.output);
+          else reject(unreadable(call.name, response.issues[0].message));
         },
         fail: (error) => {
-          cancel();
+          cancelTimeout();
           reject(error);
         },
       });
-      cancel = this.#clock.after(waitMs, () =>
-        this.#waiting.take(key)?.fail(new TransportError('silent', `${call.name}: no return in ${waitMs} ms`)),
-      );
+      cancelTimeout = this.#clock.after(waitMs, () => {
+        this.#pending.take(key)?.fail(new TransportError('silent', `${call.name}: no return in ${waitMs} ms`));
+      });
       const sent = send({ kind: 'ask', slot: key.slot, gen: key.generation, call: call.name, body });
-      if (!sent) this.#waiting.take(key)?.fail(new TransportError('unsent', `${call.name}: not sent`));
+      if (!sent) this.#pending.take(key)?.fail(new TransportError('unsent', `${call.name}: not sent`));
     });
   }
 
-  /** What waits for a return by this way will not get one; `sent` unless the way never came to be. */
+  /** Fails all pending requests over `via`: as `lost`, or as `unsent` where it was never established. */
   lost(via: V, sent = true): void {
-    for (const waiting of this.#waiting.takeWhere((held) => held.via === via))
-      waiting.fail(new TransportError(sent ? 'lost' : 'unsent', `${waiting.call}: the circuit was lost`));
+    const reason = sent ? 'lost' : 'unsent';
+    for (const request of this.#pending.takeWhere((pending) => pending.via === via)) {
+      request.fail(new TransportError(reason, `${request.call}: the circuit was lost`));
+    }
   }
 
+  /** Handles a frame that came in; `reply` sends a frame back to where it came from. */
   take(frame: Frame, reply: (frame: Frame) => unknown): void {
-    if (frame.kind === 'back' || frame.kind === 'fail') {
-      const waiting = this.#waiting.take({ slot: frame.slot, generation: frame.gen });
-      if (waiting === undefined) this.#counters.add('wire.lateReturn');
-      else if (frame.kind === 'back') waiting.take(frame.body);
-      else waiting.fail(new TransportError('refused', frame.message));
-      return;
-    }
-    const handle = this.#handlers.get(frame.call);
-    const done = handle === undefined ? Promise.reject(new TransportError('unreadable', `no call ${frame.call}`)) : handle(frame.body);
+    if (frame.kind === 'back' || frame.kind === 'fail') this.#settle(frame);
+    else this.#handle(frame, reply);
+  }
+
+  #settle(frame: ResponseFrame): void {
+    const request = this.#pending.take({ slot: frame.slot, generation: frame.gen });
+    if (request === undefined) this.#counters.add('wire.lateReturn');
+    else if (frame.kind === 'back') request.complete(frame.body);
+    else request.fail(new TransportError('refused', frame.message));
+  }
+
+  #handle(frame: RequestFrame, reply: (frame: Frame) => unknown): void {
+    const handled = this.#callHandler(frame);
     if (frame.kind === 'tell') {
-      done.catch(() => this.#counters.add('wire.tellFailed'));
+      handled.catch(() => this.#counters.add('wire.tellFailed'));
       return;
     }
     const { slot, gen } = frame;
-    done
+    handled
       .then(
         (body) => reply({ kind: 'back', slot, gen, body }),
         (error: unknown) => reply({ kind: 'fail', slot, gen, message: errorLine(error) }),
       )
       .catch(() => this.#counters.add('wire.replyFailed'));
   }
+
+  /** Not async: a further turn of the microtask queue would change the order of simulated runs. */
+  #callHandler(frame: RequestFrame): Promise<unknown> {
+    const handler = this.#handlers.get(frame.call);
+    if (handler === undefined) return Promise.reject(new TransportError('unreadable', `no call ${frame.call}`));
+    return handler(frame.body);
+  }
+}
+
+function unreadable(call: string, message: string): TransportError {
+  return new TransportError('unreadable', `${call}: ${message}`);
 }
--- a/packages/runtime/src/transport/slab.ts
+++ b/packages/runtime/src/transport/slab.ts
@@ -2,46 +2,52 @@
 
 interface Slot<T> {
   generation: number;
-  held: T | undefined;
+  value: T | undefined;
 }
 
-/** Holds what waits for a return. A key carries the slot's generation, so a late return finds nothing. */
+/**
+ * Values in numbered slots that are used again once they are free. A key holds the slot's generation, so that the key of a value that
+ * was taken out never finds the slot's next value: a late response reaches no other request.
+ */
 export class Slab<T> {
   readonly #slots: Slot<T>[] = [];
   readonly #free: number[] = [];
   #size = 0;
 
+  /** How many values are stored now. */
   get size(): number {
     return this.#size;
   }
 
-  put(held: T): SlabKey {
-    const slot = this.#free.pop() ?? this.#slots.push({ generation: 0, held: undefined }) - 1;
-    const place = this.#slots[slot] ?? { generation: 0, held: undefined };
-    this.#slots[slot] = place;
-    place.held = held;
+  /** Stores a value and returns the key that takes it out. */
+  put(value: T): SlabKey {
+    const index = this.#free.pop() ?? this.#slots.length;
+    const slot = this.#slots[index] ?? { generation: 0, value: undefined };
+    this.#slots[index] = slot;
+    slot.value = value;
     this.#size += 1;
-    return { slot, generation: place.generation };
+    return { slot: index, generation: slot.generation };
   }
 
+  /** Takes the value out; undefined when it was taken out before. */
   take(key: SlabKey): T | undefined {
-    const place = this.#slots[key.slot];
-    if (place === undefined || place.generation !== key.generation || place.held === undefined) return undefined;
-    const held = place.held;
-    place.held = undefined;
-    place.generation += 1;
+    const slot = this.#slots[key.slot];
+    if (slot === undefined || slot.generation !== key.generation || slot.value === undefined) return undefined;
+    const value = slot.value;
+    slot.value = undefined;
+    slot.generation += 1;
     this.#free.push(key.slot);
     this.#size -= 1;
-    return held;
+    return value;
   }
 
-  /** Takes out everything that matches, for when none of it can come any more. */
-  takeWhere(matches: (held: T) => boolean): readonly T[] {
+  /** Takes out all values that match, in the order of their slots. */
+  takeWhere(matches: (value: T) => boolean): readonly T[] {
     const taken: T[] = [];
-    this.#slots.forEach((place, slot) => {
-      if (place.held === undefined || !matches(place.held)) return;
-      const held = this.take({ slot, generation: place.generation });
-      if (held !== undefined) taken.push(held);
+    this.#slots.forEach((slot, index) => {
+      if (slot.value === undefined || !matches(slot.value)) return;
+      const value = this.take({ slot: index, generation: slot.generation });
+      if (value !== undefined) taken.push(value);
     });
     return taken;
   }
--- a/packages/runtime/src/transport/slabKey.ts
+++ b/packages/runtime/src/transport/slabKey.ts
@@ -1,4 +1,4 @@
-/** Where a continuation waits: the slot, and how often the slot had been used before. */
+/** Identifies a value in a Slab: the slot, and how many values the slot held before this one. */
 export interface SlabKey {
   readonly slot: number;
   readonly generation: number;
--- a/packages/runtime/src/transport/tcpTransport.ts
+++ b/packages/runtime/src/transport/tcpTransport.ts
@@ -2,60 +2,68 @@
 import type { Server, Socket } from 'node:net';
 import type { Address } from '@pewterlanding/model';
 import { addressParts } from '@pewterlanding/model';
+import type { Clock } from '../clock/index.js';
+import type { Counters } from '../logging/index.js';
 import type { Call } from './call.js';
+import { ConnectAttempt } from './connectAttempt.js';
 import { Connection } from './connection.js';
-import type { Clock } from '../clock/clock.js';
-import type { Counters } from '../logging/counters.js';
 import { RequestTracker } from './requestTracker.js';
+import { SilenceDetector } from './silenceDetector.js';
 import type { Transport } from './transport.js';
 import type { TransportBounds } from './transportBounds.js';
 
+const defaultBounds: TransportBounds = { maxFrameBytes: 16 << 20, maxQueueBytes: 32 << 20, dialMs: 1000 };
+/** A process that connects here is up: less silence, as a part of `dialMs`, shows that our connection to it is of its earlier run. */
+const reconnectedSilenceRatio = 1 / 4;
+
 interface TcpTransportOptions {
-  /** Where others dial this process. */
+  /** The address at which other processes reach this one. */
   readonly here: Address;
-  /** Where it listens, and from whose host it dials. */
+  /** The address to listen at; its host is also the source address of outgoing connections. */
   readonly listen: Address;
+  /** Connections of other fleets are refused. */
   readonly fleet: string;
   readonly clock: Clock;
   readonly counters: Counters;
+  /** Left out: frames of 16 MiB, a queue of 32 MiB, 1000 ms. */
   readonly bounds?: Partial<TransportBounds>;
 }
 
-/** The wire over TCP: one circuit to each address dialled, tasks and returns matched through a slab. */
+/** Transport over TCP with one outgoing connection for each address. Responses come back on the connection of their request. */
 export class TcpTransport implements Transport {
   readonly here: Address;
-  readonly #listen: Address;
-  readonly #fleet: string;
-  readonly #clock: Clock;
-  readonly #counters: Counters;
+  readonly #options: TcpTransportOptions;
   readonly #bounds: TransportBounds;
   readonly #requests: RequestTracker<Connection>;
+  readonly #silenceDetector: SilenceDetector;
+  /** Outgoing connections, by the address that was dialled. */
   readonly #dialled = new Map<Address, Connection>();
+  /** Sockets of all connections, incoming and outgoing. */
   readonly #sockets = new Set<Socket>();
-  /** On which circuits something was asked since bytes last came in, how many had come in by then, and when that was. */
-  readonly #unanswered = new WeakMap<Connection, { readonly bytes: number; readonly sinceMs: number }>();
   #server: Server | undefined;
 
   constructor(options: TcpTransportOptions) {
     this.here = options.here;
-    this.#listen = options.listen;
-    this.#fleet = options.fleet;
-    this.#clock = options.clock;
-    this.#counters = options.counters;
+    this.#options = options;
+    this.#bounds = { ...defaultBounds, ...options.bounds };
     this.#requests = new RequestTracker(options.clock, options.counters);
-    this.#bounds = { maxFrameBytes: 16 << 20, maxQueueBytes: 32 << 20, dialMs: 1000, ...options.bounds };
+    this.#silenceDetector = new SilenceDetector(options.clock);
   }
 
+  /** Starts to accept connections; rejects with the error of the system, as when the address is in use. */
   async listen(): Promise<void> {
-    const server = createServer((socket) => this.#adopt(socket));
+    const server = createServer((socket) => {
+      this.#connectionOver(socket, (connection) => this.#requests.lost(connection));
+    });
     this.#server = server;
-    const { host, port } = addressParts(this.#listen);
+    const { host, port } = addressParts(this.#options.listen);
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, resolve);
     });
   }
 
+  /** Stops accepting and closes all connections; pending requests fail as lost. */
   close(): void {
     this.#server?.close();
     for (const socket of this.#sockets) socket.destroy();
@@ -67,10 +75,9 @@
 
   ask<B, R>(to: Address, call: Call<B, R>, body: B, waitMs: number): Promise<R> {
     const connection = this.#connectionTo(to);
-    const unanswered = this.#unanswered.get(connection);
-    if (unanswered?.bytes !== connection.bytes) this.#unanswered.set(connection, { bytes: connection.bytes, sinceMs: this.#clock.nowMs() });
+    this.#silenceDetector.requested(connection);
     const response = this.#requests.ask(connection, (frame) => connection.send(frame), call, body, waitMs);
-    response.catch(() => this.#doubt(to, connection, this.#bounds.dialMs));
+    response.catch(() => this.#abandonIfSilent(to, connection, this.#bounds.dialMs));
     return response;
   }
 
@@ -78,61 +85,59 @@
     this.#connectionTo(to).send({ kind: 'tell', call: call.name, body });
   }
 
-  /**
-   * What was sent to a machine that lost its power is sent again ever more rarely, so that a circuit of before holds up
-   * whatever follows long after the machine is back. One that brought nothing for so long ends, and the next word dials anew.
-   */
-  #doubt(to: Address, connection: Connection, patienceMs: number): void {
-    const unanswered = this.#unanswered.get(connection);
-    if (unanswered === undefined || unanswered.bytes !== connection.bytes || this.#clock.nowMs() - unanswered.sinceMs < patienceMs) return;
-    this.#counters.add('wire.abandoned');
-    this.#unanswered.delete(connection);
+  /** Closes a connection that has been silent for so long; the next request opens a new one. */
+  #abandonIfSilent(to: Address, connection: Connection, silentMs: number): void {
+    if (!this.#silenceDetector.isSilent(connection, silentMs)) return;
+    this.#options.counters.add('wire.abandoned');
+    this.#silenceDetector.forget(connection);
     this.#forget(to, connection);
     connection.close();
   }
 
   #connectionTo(to: Address): Connection {
-    const known = this.#dialled.get(to);
-    if (known !== undefined) return known;
+    return this.#dialled.get(to) ?? this.#dial(to);
+  }
+
+  #dial(to: Address): Connection {
     const { host, port } = addressParts(to);
-    const socket = connect({ host, port, localAddress: addressParts(this.#listen).host });
-    // A dial into the dark must end soon, or a returning machine would wait behind it.
-    const cancel = this.#clock.after(this.#bounds.dialMs, () => {
-      if (socket.connecting) socket.destroy();
-    });
-    let connected = false;
-    socket.once('connect', () => {
-      connected = true;
-      cancel();
-    });
-    const connection = this.#adopt(socket, (gone) => {
-      cancel();
-      this.#forget(to, gone);
-      // What waited for a dial that failed was never sent.
-      this.#requests.lost(gone, connected);
+    const socket = connect({ host, port, localAddress: addressParts(this.#options.listen).host });
+    const attempt = new ConnectAttempt(socket, this.#options.clock, this.#bounds.dialMs);
+    const connection = this.#connectionOver(socket, (closed) => {
+      attempt.cancel();
+      this.#forget(to, closed);
+      // Requests on a connection that was never established were never sent.
+      this.#requests.lost(closed, attempt.succeeded);
     });
     this.#dialled.set(to, connection);
     return connection;
   }
 
-  /** Only this circuit: another may have been dialled in its place. */
+  /** Only this connection: a newer one to the same address stays. */
   #forget(to: Address, connection: Connection): void {
     if (this.#dialled.get(to) === connection) this.#dialled.delete(to);
   }
 
-  #adopt(socket: Socket, closed: (connection: Connection) => void = (connection) => this.#requests.lost(connection)): Connection {
+  #connectionOver(socket: Socket, closed: (connection: Connection) => void): Connection {
     this.#sockets.add(socket);
-    return new Connection(socket, { fleet: this.#fleet, from: this.here }, this.#bounds, this.#counters, {
-      frame: (frame, connection) => this.#requests.take(frame, (reply) => connection.send(reply)),
-      greeted: (from) => {
-        // Who dials here is up: a circuit to it that is silent for a while is one to its former life.
-        const dialled = this.#dialled.get(from);
-        if (dialled !== undefined) this.#doubt(from, dialled, this.#bounds.dialMs / 4);
-      },
-      closed: (connection) => {
-        this.#sockets.delete(socket);
-        closed(connection);
+    return new Connection({
+      socket,
+      fleet: this.#options.fleet,
+      from: this.here,
+      bounds: this.#bounds,
+      counters: this.#options.counters,
+      hooks: {
+        frame: (frame, connection) => this.#requests.take(frame, (reply) => connection.send(reply)),
+        greeted: (from) => this.#greeted(from),
+        closed: (connection) => {
+          this.#sockets.delete(socket);
+          closed(connection);
+        },
       },
     });
   }
+
+  #greeted(from: Address): void {
+    const dialled = this.#dialled.get(from);
+    if (dialled !== undefined) this.#abandonIfSilent(from, dialled, this.#bounds.dialMs * reconnectedSilenceRatio);
+  }
 }
--- a/packages/runtime/test/journal.test.ts
+++ b/packages/runtime/test/journal.test.ts
@@ -19,7 +19,7 @@
     return join(folder, name);
   }
 
-  it('gives back what was appended, also after a rewrite', async () => {
+  it('returns the records that were appended, also after a rewrite', async () => {
     await written('plain');
     const journal = new Journal(new NodeDisk(folder), 'plain');
     expect((await journal.open()).records).toEqual([{ record: 'one' }, { record: 'two' }, { record: 'three' }]);
@@ -32,7 +32,7 @@
     });
   });
 
-  it('cuts a torn tail, wherever it was torn, and goes on behind what is whole', async () => {
+  it('truncates a torn tail, wherever it was torn, and appends after the last complete record', async () => {
     const file = await written('torn');
     const whole = await readFile(file);
     for (let cut = 1; cut < 14; cut += 1) {
@@ -44,7 +44,7 @@
     }
   });
 
-  it('stores nothing of a file that is damaged before its tail', async () => {
+  it('returns no record of a file that is damaged before its tail', async () => {
     const file = await written('damaged');
     const bytes = await readFile(file);
     bytes[10] = (bytes[10] ?? 0) ^ 0xff;
--- a/packages/runtime/test/settings.test.ts
+++ b/packages/runtime/test/settings.test.ts
@@ -4,13 +4,12 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Bounds, QuotaRule, Limits, Route, Service, Configuration } from '@pewterlanding/model';
 import { BootSettings } from '../src/index.js';
 
 const page = readFileSync(join(dirname(fileURLToPath(import.meta.url)), '../../../../docs/settings.md'), 'utf8');
 const Entry = v.object({ type: v.string(), default: v.optional(v.unknown()) });
 
-/** The rows of one section: setting and default, as the page has them. */
+/** The rows of one section of the page: setting and default. */
 function rowsOf(section: string): readonly string[] {
   const from = page.indexOf(`## ${section}\n`);
   const next = page.indexOf('\n## ', from + 1);
@@ -18,7 +17,7 @@
   return [...text.matchAll(/^\| `(\w+)` \| ([^|]*) \|/gm)].map((row) => `${row[1]} ${row[2]?.trim()}`);
 }
 
-/** What a schema says: `needed`, `none` for what may be left out, or the default. */
+/** The same of a schema: `needed`, `none` for an optional setting without a default, or the default. */
 function rowsIn(entries: Readonly<Record<string, unknown>>): readonly string[] {
   return Object.entries(entries).map(([name, schema]) => {
     const entry = v.parse(Entry, schema);
@@ -27,18 +26,8 @@
   });
 }
 
-describe('the page of settings', () => {
-  for (const [section, schema] of [
-    ['Boot', BootSettings],
-    ['Setup', Configuration],
-    ['Bounds', Bounds],
-    ['Services', Service],
-    ['Branches', QuotaRule],
-    ['Routes', Route],
-    ['Limits', Limits],
-  ] as const) {
-    it(`has every setting of ${section} with its default, and no other`, () => {
-      expect([...rowsOf(section)].sort()).toEqual([...rowsIn(schema.entries)].sort());
-    });
-  }
+describe('docs/settings.md', () => {
+  it('has every boot setting with its default, and no other', () => {
+    expect([...rowsOf('Boot')].sort()).toEqual([...rowsIn(BootSettings.entries)].sort());
+  });
 });
--- a/packages/runtime/test/startupTimeline.test.ts
+++ b/packages/runtime/test/startupTimeline.test.ts
@@ -12,7 +12,7 @@
     return this.atMs;
   }
   after(): () => void {
-    throw new Error('a time line needs no timer');
+    throw new Error('the startup timeline needs no timer');
   }
 }
 
@@ -23,7 +23,7 @@
   return { clock, lines, timeline };
 }
 
-describe('the time line of a start', () => {
+describe('StartupTimeline', () => {
   it('notes each stage once, by the time since the process began', () => {
     const { clock, lines, timeline } = started(1000);
     clock.atMs = 1030.4;
--- a/packages/runtime/test/transport.test.ts
+++ b/packages/runtime/test/transport.test.ts
@@ -1,9 +1,11 @@
 import { connect, createServer } from 'node:net';
+import type { Server } from 'node:net';
 import { afterEach, describe, it } from 'node:test';
+import { decode, encode } from 'cbor-x';
 import { expect } from 'earl';
 import * as v from 'valibot';
-import { Address } from '@pewterlanding/model';
-import { Counters, defineCall, SystemClock, TcpTransport, TransportError } from '../src/index.js';
+import { Address, addressParts } from '@pewterlanding/model';
+import { Counters, defineCall, FrameReader, SystemClock, TcpTransport, TransportError } from '../src/index.js';
 
 const echo = defineCall('echo', v.strictObject({ text: v.string() }), v.strictObject({ text: v.string() }));
 const never = defineCall('never', v.strictObject({}), v.strictObject({}));
@@ -37,7 +39,7 @@
   return { transport, counters };
 }
 
-/** Writes raw bytes to a wire and resolves when it closes the circuit. */
+/** Writes raw bytes to a transport and resolves when it closes the connection. */
 function raw(to: Address, bytes: Uint8Array): Promise<void> {
   return new Promise((resolve) => {
     const socket = connect({ host: '127.0.0.1', port: Number(to.split(':')[1]) });
@@ -48,8 +50,31 @@
   });
 }
 
-describe('the wire', () => {
-  it('brings returns, refusals and silence back to who asked', async () => {
+/** A frame as it is on the wire: a length of four bytes, then CBOR. */
+function frameOf(message: unknown): Buffer {
+  const payload = encode(message);
+  const lengthPrefix = Buffer.alloc(4);
+  lengthPrefix.writeUInt32BE(payload.length, 0);
+  return Buffer.concat([lengthPrefix, payload]);
+}
+
+async function listeningAddress(server: Server): Promise<Address> {
+  await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
+  const bound = server.address();
+  return v.parse(Address, `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`);
+}
+
+function refusals(counters: Counters): Readonly<Record<string, number>> {
+  return {
+    all: counters.get('wire.turnedAway'),
+    otherFleet: counters.get('wire.otherFleet'),
+    otherVersion: counters.get('wire.otherVersion'),
+    unreadable: counters.get('wire.unreadable'),
+  };
+}
+
+describe('the TCP transport', () => {
+  it('resolves with the response and rejects when there is none or the connection is lost', async () => {
     const a = await transportAt('one');
     const b = await transportAt('one');
     expect(await a.transport.ask(b.transport.here, echo, { text: 'x' }, 1000)).toEqual({ text: 'x' });
@@ -60,7 +85,7 @@
     await expect(a.transport.ask(b.transport.here, echo, { text: 'x' }, 1000)).toBeRejectedWith(TransportError);
   });
 
-  it('dials anew where a circuit brought nothing for long, as one to a machine that lost its power', async () => {
+  it('opens a new connection where one received nothing for long, as to a machine that lost its power', async () => {
     const a = await transportAt('one');
     const silent = createServer();
     silent.unref();
@@ -72,7 +97,7 @@
     await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
     const bound = silent.address();
     const there = v.parse(Address, `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`);
-    // A short wait alone proves nothing of the circuit.
+    // A request with a short time limit does not show that the connection is dead.
     await expect(a.transport.ask(there, echo, { text: 'x' }, 5)).toBeRejectedWith(TransportError, /no return/);
     await expect(a.transport.ask(there, echo, { text: 'x' }, 60)).toBeRejectedWith(TransportError, /no return/);
     await expect(a.transport.ask(there, echo, { text: 'x' }, 5)).toBeRejectedWith(TransportError, /no return/);
@@ -80,7 +105,7 @@
     expect([dials, a.counters.all()['wire.abandoned']]).toEqual([2, 1]);
   });
 
-  it('closes a circuit of another fleet, an oversized or an unreadable frame, counts it, and lives on', async () => {
+  it('closes the connection of another fleet or with an oversized or unreadable frame, counts it, and goes on serving', async () => {
     const a = await transportAt('one');
     const stranger = await transportAt('two');
     await expect(stranger.transport.ask(a.transport.here, echo, { text: 'x' }, 1000)).toBeRejectedWith(TransportError);
@@ -93,4 +118,52 @@
     expect(await b.transport.ask(a.transport.here, echo, { text: 'still' }, 1000)).toEqual({ text: 'still' });
     await expect(b.transport.ask(a.transport.here, echo, { text: 'x'.repeat(20_000) }, 1000)).toBeRejectedWith(TransportError, /not sent/);
   });
+
+  it('refuses a peer of another transport version, whichever side connects, and counts it by its cause', async () => {
+    const a = await transportAt('one');
+    const version1 = frameOf({ fleet: 'one', version: 1, from: '127.0.0.1:1' });
+    await raw(a.transport.here, version1);
+    expect(refusals(a.counters)).toEqual({ all: 1, otherFleet: 0, otherVersion: 1, unreadable: 0 });
+    const server = createServer(
+      (socket) =>
+        void socket
+          .on('error', () => undefined)
+          .resume()
+          .write(version1),
+    );
+    server.unref();
+    const there = await listeningAddress(server);
+    await expect(a.transport.ask(there, echo, { text: 'x' }, 10_000)).toBeRejectedWith(TransportError, /lost/);
+    server.close();
+    expect(refusals(a.counters)).toEqual({ all: 2, otherFleet: 0, otherVersion: 2, unreadable: 0 });
+  });
+
+  it('refuses a peer of another fleet and counts it by its cause', async () => {
+    const a = await transportAt('one');
+    await raw(a.transport.here, frameOf({ fleet: 'two', version: 2, from: '127.0.0.1:1' }));
+    expect(refusals(a.counters)).toEqual({ all: 1, otherFleet: 1, otherVersion: 0, unreadable: 0 });
+  });
+
+  it('answers a peer of its own fleet and version', async () => {
+    const a = await transportAt('one');
+    const { host, port } = addressParts(a.transport.here);
+    const socket = connect({ host, port });
+    const reader = new FrameReader(10_000);
+    const received: unknown[] = [];
+    const response = new Promise<void>((resolve) => {
+      socket.on('data', (chunk: Buffer) => {
+        received.push(...reader.push(chunk).map((payload): unknown => decode(payload)));
+        if (received.length === 2) resolve();
+      });
+    });
+    socket.write(frameOf({ fleet: 'one', version: 2, from: '127.0.0.1:1' }));
+    socket.write(frameOf({ kind: 'ask', slot: 3, gen: 4, call: 'echo', body: { text: 'x' } }));
+    await response;
+    socket.destroy();
+    expect(received).toEqual([
+      { fleet: 'one', version: 2, from: String(a.transport.here) },
+      { kind: 'back', slot: 3, gen: 4, body: { text: 'x' } },
+    ]);
+    expect(refusals(a.counters)).toEqual({ all: 0, otherFleet: 0, otherVersion: 0, unreadable: 0 });
+  });
 });
--- a/testing/simulator/test/shardMembership.test.ts
+++ b/testing/simulator/test/shardMembership.test.ts
@@ -54,7 +54,7 @@
         asked.then((response) => response.ok).catch((error: unknown) => (error instanceof Error ? error.message : 'failed')),
       );
     };
-    expect(await ask({ ...call, memberId: 'a member before' })).toEqual(`WireError: ${ShardCluster.shard}: not that member`);
+    expect(await ask({ ...call, memberId: 'a member before' })).toEqual(`TransportError: ${ShardCluster.shard}: not that member`);
     expect(await ask({ ...call, term: member.term - 1 })).toEqual(false);
     expect([node.counters.get('consensus.turnedAway'), node.counters.get('consensus.staleTerm')]).toEqual([1, 1]);
     expect([member.term, member.committed, member.leaderAddress, member.group()]).toEqual(before);
