--- a/packages/model/src/services/route.ts
+++ b/packages/model/src/services/route.ts
@@ -18,7 +18,7 @@
   resumable: v.optional(v.boolean(), false),
   /** Services among which requests are divided in proportion to the weights; a weight of 0 gets none. */
   services: v.pipe(v.array(v.strictObject({ service: ServiceName, weight: Count })), v.minLength(1)),
-  /** Longest time that a request is held. Milliseconds, no limit by default. */
+  /** Longest time that a request is held, whatever its own deadline. Milliseconds, a day by default. */
   timeoutMs: v.optional(Milliseconds),
   /**
    * Latency target: of the first event of a stream, of a whole response, of the acceptance of a batch. Milliseconds, none by default.
@@ -33,8 +33,8 @@
   /** Whether requests name their prompt prefixes, so that they go to replicas that have these cached. False by default. */
   sticky: v.optional(v.boolean(), false),
   /**
-   * For batches, counted from the submission: `dueMs` until all results are due, `retainMs` until an item may be abandoned (both in
-   * milliseconds, without default); `waitingTokens`: tokens that may wait, 0 (the default) for no limit.
+   * For batches, counted from the submission: `dueMs` until all results are due, `retainMs` until what has not completed is abandoned
+   * (both in milliseconds, without default); `waitingTokens`: tokens that may wait, 0 (the default) for no limit.
    */
   batch: v.optional(
     v.strictObject({ dueMs: v.optional(Milliseconds), retainMs: v.optional(Milliseconds), waitingTokens: v.optional(Count, 0) }),
--- a/packages/runtime/src/clock/clock.ts
+++ b/packages/runtime/src/clock/clock.ts
@@ -1,7 +1,9 @@
-/** Time as the domain sees it. `nowMs` never goes back and says nothing about the date; `wallMs` is the date. */
+/** Source of time and timers; a simulation supplies its own. */
 export interface Clock {
+  /** Monotonic milliseconds since an arbitrary start, for durations. */
   nowMs(): number;
+  /** Milliseconds since 1970 (Unix time); may jump. */
   wallMs(): number;
-  /** Runs `run` once after `waitMs`; the function returned cancels it. */
+  /** Calls `run` once after `waitMs` milliseconds; the returned function cancels that. */
   after(waitMs: number, run: () => void): () => void;
 }
--- a/packages/runtime/src/clock/every.ts
+++ b/packages/runtime/src/clock/every.ts
@@ -1,13 +1,13 @@
 import type { Clock } from './clock.js';
 
-/** Runs `run` each `periodMs`, the next wait starting only when the last run is over. Returns the stop. */
+/** Calls `run` again and again, `periodMs` milliseconds after the previous run has completed. Returns the function that stops it. */
 export function every(clock: Clock, periodMs: number, run: () => void | Promise<void>): () => void {
   let stopped = false;
   let cancel = (): void => undefined;
   const next = (): void => {
     if (stopped) return;
     cancel = clock.after(periodMs, () => {
-      // A run that fails must not end the duty; what failed is counted where it failed.
+      // A failed run must not stop the loop; the failure is counted where it happens.
       void Promise.resolve()
         .then(run)
         .catch(() => undefined)
--- a/packages/runtime/src/clock/pause.ts
+++ b/packages/runtime/src/clock/pause.ts
@@ -1,6 +1,6 @@
 import type { Clock } from './clock.js';
 
-/** Waits on the clock that was passed in, so that virtual time can drive it. */
+/** Resolves after `waitMs` milliseconds of the clock. */
 export function pause(clock: Clock, waitMs: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(waitMs, resolve);
--- a/packages/runtime/src/clock/systemClock.ts
+++ b/packages/runtime/src/clock/systemClock.ts
@@ -1,6 +1,6 @@
 import type { Clock } from './clock.js';
 
-/** The machine's own time, monotonic for durations. */
+/** The clock of the operating system, by Node's timers. */
 export class SystemClock implements Clock {
   nowMs(): number {
     return performance.now();
--- a/packages/runtime/src/logging/counters.ts
+++ b/packages/runtime/src/logging/counters.ts
@@ -1,4 +1,4 @@
-/** Counts of what happened, by name; the first thing to look at, before any log line. */
+/** Event counters of a process, by name, for its status page. Requests are counted, not logged. */
 export class Counters {
   readonly #counts = new Map<string, number>();
 
@@ -10,6 +10,7 @@
     return this.#counts.get(name) ?? 0;
   }
 
+  /** All counters that were added to, sorted by name. */
   all(): Readonly<Record<string, number>> {
     return Object.fromEntries([...this.#counts].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
--- a/packages/runtime/src/logging/log.ts
+++ b/packages/runtime/src/logging/log.ts
@@ -1,4 +1,4 @@
-/** Where a change of state is told. Nothing is logged per task: that is what counters are for. */
+/** Log of state changes of a process. Requests are not logged one by one; see Counters. */
 export interface Log {
   info(line: string): void;
   warn(line: string): void;
--- a/packages/runtime/src/logging/nodeLog.ts
+++ b/packages/runtime/src/logging/nodeLog.ts
@@ -1,14 +1,14 @@
 import loglevel from 'loglevel';
 import type { Log } from './log.js';
 
-/** A log of a process, each line with the time and the node's name. */
+/** A log to the console; each line starts with the time (ISO 8601, UTC) and the node's name. */
 export function nodeLog(name: string, level: 'info' | 'warn' | 'error' | 'silent' = 'info'): Log {
   const logger = loglevel.getLogger(name);
   logger.setLevel(level, false);
-  const clockReading = (line: string): string => `${new Date().toISOString()} ${name} ${line}`;
+  const prefixed = (line: string): string => `${new Date().toISOString()} ${name} ${line}`;
   return {
-    info: (line) => logger.info(clockReading(line)),
-    warn: (line) => logger.warn(clockReading(line)),
-    error: (line) => logger.error(clockReading(line)),
+    info: (line) => logger.info(prefixed(line)),
+    warn: (line) => logger.warn(prefixed(line)),
+    error: (line) => logger.error(prefixed(line)),
   };
 }
--- a/packages/runtime/src/process/endOnSignal.ts
+++ b/packages/runtime/src/process/endOnSignal.ts
@@ -1,14 +1,19 @@
 import { errorLine } from '../logging/index.js';
 import type { Running } from './running.js';
 
-/** Ends a program politely when it is told to go, also while it is still starting. */
+/** How long after the grace period the process exits in any case; supervisors send SIGKILL soon after. */
+const forcedExitMs = 500;
+
+/**
+ * Shuts a program down gracefully on SIGTERM or SIGINT, also while it is still starting. Exits with code 0, or with 1 when the shutdown
+ * failed or took longer than `graceMs` milliseconds.
+ */
 export function endOnSignal(starting: Promise<Running>, graceMs: number): void {
   let leaving = false;
   const leave = (): void => {
     if (leaving) return;
     leaving = true;
-    // Whatever holds on past the grace is cut: the hard signal comes soon after.
-    setTimeout(() => process.exit(1), graceMs + 500).unref();
+    setTimeout(() => process.exit(1), graceMs + forcedExitMs).unref();
     starting
       .then((running) => running.leave(graceMs))
       .then(
--- a/packages/runtime/src/process/reachedStage.ts
+++ b/packages/runtime/src/process/reachedStage.ts
@@ -1,6 +1,6 @@
 import type { StartupStage } from './startupStage.js';
 
-/** A stage of a process's start, and how long after its beginning the process reached it. */
+/** A startup stage and the time, in milliseconds since the start of the process, at which it was reached. */
 export interface ReachedStage {
   readonly stage: StartupStage;
   readonly sinceStartMs: number;
--- a/packages/runtime/src/process/runProgram.ts
+++ b/packages/runtime/src/process/runProgram.ts
@@ -1,22 +1,29 @@
 import type { Address } from '@pewterlanding/model';
-import type { BootSettings } from '../settings/index.js';
-import { endOnSignal } from './endOnSignal.js';
-import { errorLine } from '../logging/index.js';
 import { FindingsError } from '@pewterlanding/model';
+import { errorLine } from '../logging/index.js';
 import { readBootSettings } from '../settings/index.js';
+import type { BootSettings } from '../settings/index.js';
+import { endOnSignal } from './endOnSignal.js';
 import type { Running } from './running.js';
 
+/** What a program gets at its start. Addresses that the settings leave out are the one it listens at. */
+interface StartOptions {
+  readonly bootSettings: BootSettings;
+  readonly http: Address;
+  readonly beside: Address;
+  /** The current folder where the settings name none. */
+  readonly dataFolder: string;
+}
+
 interface Program {
+  /** Flags as the command line's parser read them, by their names in camel case. */
   readonly flags: Readonly<Record<string, unknown>>;
+  /** Optional boot settings that this program cannot do without. */
   readonly needs: readonly ('http' | 'beside' | 'dataFolder')[];
-  readonly start: (granted: {
-    readonly bootSettings: BootSettings;
-    readonly http: Address;
-    readonly beside: Address;
-    readonly dataFolder: string;
-  }) => Promise<Running>;
+  readonly start: (options: StartOptions) => Promise<Running>;
 }
 
+/** Flags of all programs, in the form that meow takes. */
 const flags = {
   boot: { type: 'string' },
   fleet: { type: 'string' },
@@ -31,14 +38,16 @@
   logLevel: { type: 'string' },
 } as const;
 
-/** What all programs share: boot by file and flags, every finding at once, a polite end on SIGTERM. */
+const invalidExitCode = 2;
+
+/**
+ * Runs a program: reads its boot settings from file and flags, starts it, and shuts it down gracefully on SIGTERM or SIGINT. Where the
+ * settings are invalid or the start fails, it prints the findings or the error and exits with code 2.
+ */
 export const runProgram = Object.assign(
   async (program: Program): Promise<void> => {
     try {
-      const { boot: file, seeds, ...granted } = program.flags;
-      const overrides = { ...granted, seeds: typeof seeds === 'string' ? seeds.split(',') : undefined };
-      const known = Object.fromEntries(Object.entries(overrides).filter(([key]) => key in flags));
-      const bootSettings = await readBootSettings(typeof file === 'string' ? file : undefined, known, program.needs);
+      const bootSettings = await readSettings(program);
       const starting = program.start({
         bootSettings,
         http: bootSettings.http ?? bootSettings.listen,
@@ -48,10 +57,25 @@
       endOnSignal(starting, bootSettings.graceMs);
       await starting;
     } catch (error) {
-      if (error instanceof FindingsError) for (const finding of error.findings) console.error(`boot: ${finding.place}: ${finding.message}`);
-      else console.error(errorLine(error));
-      process.exit(2);
+      printError(error);
+      process.exit(invalidExitCode);
     }
   },
   { flags },
 );
+
+function readSettings(program: Program): Promise<BootSettings> {
+  const { boot: file, seeds, ...others } = program.flags;
+  const overrides = { ...others, seeds: typeof seeds === 'string' ? seeds.split(',') : undefined };
+  // A program may have flags of its own, which are no settings.
+  const known = Object.fromEntries(Object.entries(overrides).filter(([key]) => key in flags));
+  return readBootSettings(typeof file === 'string' ? file : undefined, known, program.needs);
+}
+
+function printError(error: unknown): void {
+  if (!(error instanceof FindingsError)) {
+    console.error(errorLine(error));
+    return;
+  }
+  for (const finding of error.findings) console.error(`boot: ${finding.place}: ${finding.message}`);
+}
--- a/packages/runtime/src/process/running.ts
+++ b/packages/runtime/src/process/running.ts
@@ -1,5 +1,5 @@
-/** A program that has started. */
+/** A started program. */
 export interface Running {
-  /** Ends politely within the grace. */
+  /** Shuts down gracefully: completes what it is doing, for at most `graceMs` milliseconds. */
   readonly leave: (graceMs: number) => Promise<void>;
 }
--- a/packages/runtime/src/process/startupStage.ts
+++ b/packages/runtime/src/process/startupStage.ts
@@ -1,4 +1,4 @@
-/** What a process reaches one after the other at its start; a role passes only those that it has a use for. */
+/** The stages of a process's startup, in their usual order. Not every role passes all of them. */
 export type StartupStage =
   | 'settings read'
   | 'listening'
--- a/packages/runtime/src/process/startupTimeline.ts
+++ b/packages/runtime/src/process/startupTimeline.ts
@@ -6,11 +6,11 @@
 interface StartupTimelineOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** When the process began by that clock. The system's clock counts from there. */
+  /** Start of the process by that clock, in milliseconds. 0 by default, the origin of the system's clock. */
   readonly startedMs?: number;
 }
 
-/** When a process reached each stage of its start: one log line each, and the whole for the status page. */
+/** Records when a process reached each stage of its startup: a log line for each, and all of them for the status page. */
 export class StartupTimeline {
   readonly #options: StartupTimelineOptions;
   readonly #reached: ReachedStage[] = [];
@@ -25,27 +25,29 @@
     return [...this.#reached];
   }
 
-  /** Notes a stage as reached now; only the first time counts. */
+  /** Records that a stage is reached now; later calls for the same stage have no effect. */
   reach(stage: StartupStage): void {
     this.#awaited.delete(stage);
-    if (this.#reached.some((one) => one.stage === stage)) return;
+    if (this.#reached.some((reached) => reached.stage === stage)) return;
     const { clock, log, startedMs = 0 } = this.#options;
     const sinceStartMs = Math.round(clock.nowMs() - startedMs);
     this.#reached.push({ stage, sinceStartMs });
     log.info(JSON.stringify({ startup: stage, sinceStartMs }));
   }
 
-  /** Notes a stage at the first look, from now on, that finds its condition true. */
+  /** Records the stage as soon as a look, this call included, finds the condition true. */
   await(stage: StartupStage, condition: () => boolean): void {
     this.#awaited.set(stage, condition);
     this.look();
   }
 
   /**
-   * Looks now. Called where something has changed that may have brought a stage about: a timer of its own would cost a
-   * process that never reaches its last stage for as long as it runs.
+   * Checks the conditions of all awaited stages. Called after changes that may have fulfilled one; a timer instead would run for ever
+   * in a process that never reaches its last stage.
    */
   look(): void {
-    for (const [stage, condition] of [...this.#awaited]) if (condition()) this.reach(stage);
+    for (const [stage, condition] of [...this.#awaited]) {
+      if (condition()) this.reach(stage);
+    }
   }
 }
--- a/packages/runtime/src/random/seededRandom.ts
+++ b/packages/runtime/src/random/seededRandom.ts
@@ -1,4 +1,4 @@
-/** Numbers from nought to one that a seed decides (mulberry32). */
+/** Deterministic pseudo-random numbers from 0 (inclusive) to 1 (exclusive): mulberry32 with a 32-bit seed. */
 export function seededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
--- a/packages/runtime/src/storage/fileWatch.ts
+++ b/packages/runtime/src/storage/fileWatch.ts
@@ -3,10 +3,13 @@
 import type { Clock } from '../clock/index.js';
 import { every } from '../clock/index.js';
 
-// Node's own promises of files are loaded nowhere else on a machine without a disk.
+// Not node:fs/promises, which nothing else loads in a process without a data folder.
 const readStat = promisify(stat);
 
-/** Runs `changed` when a file's time of change moves, looked at each `lookMs`, and on SIGHUP. Returns the stop. */
+/**
+ * Calls `changed` when the file's modification time differs from the last one, checked every `lookMs` milliseconds, and on SIGHUP.
+ * Returns the function that stops it. Errors of `changed` are ignored.
+ */
 export function fileWatch(file: string, clock: Clock, lookMs: number, changed: () => void | Promise<void>): () => void {
   let seenMs: number | undefined;
   const look = async (): Promise<void> => {
@@ -15,15 +18,15 @@
     seenMs = mtimeMs;
     if (moved) await changed();
   };
-  const hangUp = (): void =>
+  const onHangUp = (): void =>
     void Promise.resolve()
       .then(changed)
       .catch(() => undefined);
   void look().catch(() => undefined);
-  process.on('SIGHUP', hangUp);
+  process.on('SIGHUP', onHangUp);
   const stop = every(clock, lookMs, look);
   return () => {
-    process.off('SIGHUP', hangUp);
+    process.off('SIGHUP', onHangUp);
     stop();
   };
 }
--- a/packages/runtime/src/storage/nodeDisk.ts
+++ b/packages/runtime/src/storage/nodeDisk.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import type { Disk } from './disk.js';
 
-/** Files below one data folder of the machine. */
+/** Files in one folder of the machine, which is created when it is first needed. Files that end in `.new` are temporary. */
 export class NodeDisk implements Disk {
   readonly #folder: string;
   readonly #handles = new Map<string, Promise<FileHandle>>();
@@ -29,7 +29,7 @@
 
   async replace(file: string, bytes: Uint8Array): Promise<void> {
     await mkdir(this.#folder, { recursive: true });
-    // The old handle points at the file that the rename takes away.
+    // The open handle belongs to the file that the rename replaces.
     await this.#release(file);
     const temporary = join(this.#folder, `${file}.new`);
     const handle = await open(temporary, 'w');
@@ -63,7 +63,7 @@
     const opened = mkdir(this.#folder, { recursive: true })
       .then(() => open(join(this.#folder, file), 'a'))
       .then(async (handle) => {
-        // A new file is lost with its folder entry unless the folder is synced too.
+        // The directory entry of a new file is durable only once the folder is synced.
         await this.#syncFolder();
         return handle;
       });
