--- a/packages/model/src/services/route.ts
+++ b/packages/model/src/services/route.ts
@@ -18,7 +18,7 @@
   resumable: v.optional(v.boolean(), false),
   /** Services among which requests are divided in proportion to the weights; a weight of 0 gets none. */
   services: v.pipe(v.array(v.strictObject({ service: ServiceName, weight: Count })), v.minLength(1)),
-  /** Longest time that a request is held, whatever its own deadline. Milliseconds, a day by default. */
+  /** Upper limit of a request's deadline, whatever the request says. Milliseconds, a day by default. */
   timeoutMs: v.optional(Milliseconds),
   /**
    * Latency target: of the first event of a stream, of a whole response, of the acceptance of a batch. Milliseconds, none by default.
--- a/packages/runtime/src/process/runProgram.ts
+++ b/packages/runtime/src/process/runProgram.ts
@@ -18,7 +18,7 @@
 interface Program {
   /** Flags as the command line's parser read them, by their names in camel case. */
   readonly flags: Readonly<Record<string, unknown>>;
-  /** Optional boot settings that this program cannot do without. */
+  /** Optional boot settings that this program requires. */
   readonly needs: readonly ('http' | 'beside' | 'dataFolder')[];
   readonly start: (options: StartOptions) => Promise<Running>;
 }
