--- a/packages/runtime/test/transport.test.ts
+++ b/packages/runtime/test/transport.test.ts
@@ -119,7 +119,7 @@
     await expect(b.transport.ask(a.transport.here, echo, { text: 'x'.repeat(20_000) }, 1000)).toBeRejectedWith(TransportError, /not sent/);
   });
 
-  it('refuses a peer of another transport version, whichever side connects, and counts it by its cause', async () => {
+  it('refuses a peer of another transport version, whichever side connects, and counts it by its cause', { timeout: 10_000 }, async () => {
     const a = await transportAt('one');
     const version1 = frameOf({ fleet: 'one', version: 1, from: '127.0.0.1:1' });
     await raw(a.transport.here, version1);
@@ -138,13 +138,13 @@
     expect(refusals(a.counters)).toEqual({ all: 2, otherFleet: 0, otherVersion: 2, unreadable: 0 });
   });
 
-  it('refuses a peer of another fleet and counts it by its cause', async () => {
+  it('refuses a peer of another fleet and counts it by its cause', { timeout: 10_000 }, async () => {
     const a = await transportAt('one');
     await raw(a.transport.here, frameOf({ fleet: 'two', version: 2, from: '127.0.0.1:1' }));
     expect(refusals(a.counters)).toEqual({ all: 1, otherFleet: 1, otherVersion: 0, unreadable: 0 });
   });
 
-  it('answers a peer of its own fleet and version', async () => {
+  it('answers a peer of its own fleet and version', { timeout: 10_000 }, async () => {
     const a = await transportAt('one');
     const { host, port } = addressParts(a.transport.here);
     const socket = connect({ host, port });
