--- a/programs/controller/src/audit/verifyAudit.ts
+++ b/programs/controller/src/audit/verifyAudit.ts
@@ -5,6 +5,7 @@
 import { AuditEntry } from './auditEntry.js';
 import { auditHash } from './auditHash.js';
 import type { AuditTrail } from './auditTrail.js';
+import { UnknownKeyError } from './unknownKeyError.js';
 
 const Jwk = v.looseObject({ kty: v.string(), kid: v.string(), crv: v.string(), x: v.string(), y: v.string() });
 
@@ -45,7 +46,7 @@
   try {
     const verified = await compactVerify(signed, async (header) => {
       const key = keys.get(header.kid ?? '');
-      if (key === undefined) throw new Error(`signed by an unknown key ${header.kid ?? ''}`);
+      if (key === undefined) throw new UnknownKeyError(header.kid ?? '');
       return importJWK(key, 'ES256');
     });
     return v.parse(AuditEntry, JSON.parse(new TextDecoder().decode(verified.payload)));
--- a/programs/controller/src/configuration/packedRing.ts
+++ b/programs/controller/src/configuration/packedRing.ts
@@ -1,6 +1,7 @@
 import { createHash } from 'node:crypto';
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
+import { RingCapacityError } from './ringCapacityError.js';
 
 const numberBytes = 8;
 /** Half of a SHA-256: 128 bits leave no two documents to be found that share it. */
@@ -59,7 +60,7 @@
   }
 
   restore({ written, bytes }: Packed): void {
-    if (bytes.length !== this.#capacity * recordBytes) throw new Error(`a ring of ${bytes.length} bytes is not of this capacity`);
+    if (bytes.length !== this.#capacity * recordBytes) throw new RingCapacityError(bytes.length);
     this.#written = written;
     // What was decoded may be a view into a much larger buffer.
     this.#bytes = Buffer.from(Uint8Array.from(bytes).buffer);
--- a/programs/controller/src/operator-api/changeBody.ts
+++ b/programs/controller/src/operator-api/changeBody.ts
@@ -1,23 +1,15 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
+import { ChangeItems } from './changeItems.js';
 
-const Items = v.record(v.string(), v.unknown());
-const Names = v.optional(v.array(v.string()), []);
-const head = { basedOn: Count, mark: Count };
+const head = { basedOn: Count, revision: Count };
 
-/** A change in force in one call, as operators write it: a whole setup, or items put in place by name and items taken out. */
+/**
+ * The body of POST /v1/configuration: a whole configuration, or items put in place by name and items removed.
+ * `basedOn` is the revision that the change builds on, `revision` the operator's own number for the result.
+ */
 export const ChangeBody = v.union(
-  [
-    v.strictObject({ ...head, whole: Items }),
-    v.strictObject({
-      ...head,
-      items: v.strictObject({
-        routes: v.optional(Items, {}),
-        services: v.optional(Items, {}),
-        drop: v.optional(v.strictObject({ routes: Names, services: Names }), {}),
-      }),
-    }),
-  ],
-  'must have "basedOn", "mark", and either "whole" or "items"',
+  [v.strictObject({ ...head, whole: v.record(v.string(), v.unknown()) }), v.strictObject({ ...head, items: ChangeItems })],
+  'must have "basedOn", "revision", and either "whole" or "items"',
 );
 export type ChangeBody = v.InferOutput<typeof ChangeBody>;
--- a/programs/controller/src/operator-api/operatorApi.ts
+++ b/programs/controller/src/operator-api/operatorApi.ts
@@ -3,7 +3,9 @@
 import { pause } from '@pewterlanding/runtime';
 import type { Finding, NodeName, PlanId } from '@pewterlanding/model';
 import type { Clock } from '@pewterlanding/runtime';
+import type { AuditTrail } from '../audit/auditTrail.js';
 import type { ChangeOutcome } from '../configuration/changeOutcome.js';
+import type { Confirmation } from '../configuration/confirmation.js';
 import { controllerCalls } from '../controllerCalls.js';
 import type { Plan } from '../configuration/plan.js';
 import type { PlanOutcome } from '../configuration/planOutcome.js';
@@ -14,21 +16,21 @@
 interface OperatorApiOptions {
   readonly finder: LeaderFinder;
   readonly clock: Clock;
-  /** How long an operator's word may take; a confirmation waits for fronts that lapse. */
+  /** How long an operator's request may take, in milliseconds; a confirmation waits for fronts whose freshness runs out. */
   readonly waitMs: number;
 }
 
 interface Confirmed {
   readonly outcome: PlanOutcome;
-  /** Whether it is sure that no front still carries tasks by an older version. */
+  /** Whether it is certain that no front still forwards tasks by an older version. */
   readonly inForce: boolean;
 }
 
 const pollsPerWait = 200;
-/** How much longer a change may take for each of its items. */
-const itemMs = 3;
+/** How much longer a change may take for each of its routes and services. */
+const msPerItem = 3;
 
-/** What an operator asks of the controller, wherever its leader is. */
+/** Calls that operators make of the configuration shard's leader, wherever it is. They fail as `LeaderFinder.ask` does. */
 export class OperatorApi {
   readonly #options: OperatorApiOptions;
 
@@ -48,25 +50,33 @@
     return this.#options.finder.ask('setup', controllerCalls.configuration, {}, waitMs);
   }
 
+  /** The newest confirmations, oldest first. */
+  history(): Promise<Confirmation[]> {
+    return this.#options.finder.ask('setup', controllerCalls.history, {}, this.#options.waitMs);
+  }
+
+  audit(): Promise<AuditTrail> {
+    return this.#options.finder.ask('setup', controllerCalls.audit, {}, this.#options.waitMs);
+  }
+
   /** Puts a change in force in one call. May be sent again unchanged, at any controller. No front is waited for. */
   set(change: ConfigurationChange, waitMs = this.#options.waitMs): Promise<ChangeOutcome> {
-    const named = change.change.kind === 'whole' ? change.change.configuration : change.change;
-    const items = [named['routes'], named['services']].reduce((sum: number, all) => sum + (isFields(all) ? Object.keys(all).length : 0), 0);
-    // Asked again too early, a large change would only be worked on twice.
-    return this.#options.finder.ask('setup', controllerCalls.set, { change }, waitMs, items * itemMs);
+    // A large change that is tried again too early would only be worked on twice.
+    const extraTryMs = itemsOf(change) * msPerItem;
+    return this.#options.finder.ask('setup', controllerCalls.set, { change }, waitMs, extraTryMs);
   }
 
-  /** Has a store that joined by itself emptied, so that it can be taken away. */
+  /** Starts emptying a store that joined by announcing itself, so that it can be retired. */
   empty(name: NodeName): Promise<'started' | 'unknown' | 'too few'> {
     return this.#options.finder.ask('setup', placementCalls.empty, { name }, this.#options.waitMs);
   }
 
-  /** How far that has come; `settled` once the store may be taken away with its disk. */
+  /** How far that has come; `settled` once the store may be retired with its disk. */
   emptied(name: NodeName): Promise<'running' | 'settled' | 'unknown'> {
     return this.#options.finder.ask('setup', placementCalls.emptied, { name }, this.#options.waitMs);
   }
 
-  /** Confirms, and returns a confirmation only once it is in force everywhere, or when patience ends. */
+  /** Confirms, and returns a confirmation only once it is in force everywhere, or when `waitMs` has passed. */
   async confirm(plan: PlanId, acknowledged: boolean): Promise<Confirmed> {
     const { finder, clock, waitMs } = this.#options;
     const atMs = clock.wallMs();
@@ -79,3 +89,13 @@
     }
   }
 }
+
+/** How many routes and services a change holds. */
+function itemsOf({ change }: ConfigurationChange): number {
+  const document = change.kind === 'whole' ? change.configuration : change;
+  return countOf(document['routes']) + countOf(document['services']);
+}
+
+function countOf(items: unknown): number {
+  return isFields(items) ? Object.keys(items).length : 0;
+}
--- a/programs/pewterctl/src/controllerClient.ts
+++ b/programs/pewterctl/src/controllerClient.ts
@@ -1,43 +1,40 @@
 import { request } from 'undici';
 import type { Address } from '@pewterlanding/model';
-
-interface ControllerReturn {
-  readonly status: number;
-  readonly body: unknown;
-}
+import type { ControllerReturn } from './controllerReturn.js';
+import { NoControllerError } from './noControllerError.js';
+import { UnavailableError } from './unavailableError.js';
 
 /** Asks the controller by HTTP, trying each of its machines in turn. */
 export class ControllerClient {
   readonly #controllers: readonly Address[];
   readonly #waitMs: number;
 
+  /** `waitMs` is how long each machine may take to answer, in milliseconds. */
   constructor(controllers: readonly Address[], waitMs: number) {
     this.#controllers = controllers;
     this.#waitMs = waitMs;
   }
 
+  /** Throws a `NoControllerError` when no machine answers, or only with 503. */
   async ask(method: 'GET' | 'POST', path: string, body?: unknown): Promise<ControllerReturn> {
-    let last: unknown;
+    let cause: unknown;
     for (const controller of this.#controllers) {
       try {
-        const response = await request(`http://${controller}${path}`, {
-          method,
-          ...(body === undefined ? {} : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) }),
-          headersTimeout: this.#waitMs,
-          bodyTimeout: this.#waitMs,
-        });
-        const text = await response.body.text();
-        const read: unknown = text === '' ? undefined : JSON.parse(text);
-        // A controller machine without the leader's ear is no return; another may have it.
-        if (response.statusCode === 503) {
-          last = new Error(`${controller}: ${text}`);
-          continue;
-        }
-        return { status: response.statusCode, body: read };
+        return await this.#askOne(controller, method, path, body);
       } catch (error) {
-        last = error;
+        cause = error;
       }
     }
-    throw last instanceof Error ? last : new Error('no controller machine answers');
+    throw new NoControllerError(cause);
+  }
+
+  async #askOne(controller: Address, method: 'GET' | 'POST', path: string, body: unknown): Promise<ControllerReturn> {
+    const content = body === undefined ? {} : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) };
+    const timeouts = { headersTimeout: this.#waitMs, bodyTimeout: this.#waitMs };
+    const response = await request(`http://${controller}${path}`, { method, ...content, ...timeouts });
+    const text = await response.body.text();
+    // This machine reaches no leader; another one may.
+    if (response.statusCode === 503) throw new UnavailableError(controller, text);
+    return { status: response.statusCode, body: text === '' ? undefined : JSON.parse(text) };
   }
 }
--- a/programs/pewterctl/src/exitCode.ts
+++ b/programs/pewterctl/src/exitCode.ts
@@ -1,4 +1,4 @@
-/** What scripts may rely on. */
+/** Exit codes of pewterctl; scripts rely on them. */
 export const exitCode = {
   done: 0,
   failed: 1,
--- a/programs/pewterctl/src/show.ts
+++ b/programs/pewterctl/src/show.ts
@@ -4,12 +4,20 @@
 
 type View<K extends keyof typeof views> = v.InferOutput<(typeof views)[K]>;
 
+const maxTextLength = 60;
+
 function text(value: unknown): string {
   const json = JSON.stringify(value);
-  return json === undefined ? '(none)' : json.length > 60 ? `${json.slice(0, 57)}...` : json;
+  if (json === undefined) return '(none)';
+  return json.length > maxTextLength ? `${json.slice(0, maxTextLength - 3)}...` : json;
+}
+
+function statesOf(batch: View<'batches'>['batches'][number]): string {
+  const counts = Object.entries(batch.counts).map(([state, items]) => `${state}:${items}`);
+  return counts.join(' ') + (batch.ended ? ' (ended)' : '');
 }
 
-/** The human face of each view. */
+/** Each view as text for people. */
 export const show = {
   plan: (plan: View<'plan'>): string =>
     [
@@ -26,7 +34,7 @@
     ].join('\n'),
   nodes: ({ nodes }: View<'nodes'>): string =>
     table(
-      ['name', 'role', 'zone', 'address', 'http', 'state', 'setup'],
+      ['name', 'role', 'zone', 'address', 'http', 'state', 'configuration'],
       nodes.map((node) => [node.name, node.role, node.zone, node.address, node.http, node.state, node.version]),
     ),
   shards: ({ shards }: View<'shards'>): string =>
@@ -36,19 +44,19 @@
         shard,
         view?.term ?? 'silent',
         view?.leader,
-        view?.group.map((member) => `${member.identity.name}${member.isVoter ? '' : '(following)'}`).join(' '),
+        view?.group.map((member) => `${member.identity.name}${member.isVoter ? '' : '(learner)'}`).join(' '),
         view?.behind.map((one) => `${one.name}:${one.behind}`).join(' '),
         wanted?.map((place) => place.name).join(' '),
       ]),
     ),
-  duties: ({ duties: singletonRoles }: View<'duties'>): string =>
+  roles: ({ roles }: View<'roles'>): string =>
     table(
-      ['duty', 'holder', 'address', 'epoch'],
-      Object.entries(singletonRoles).map(([singletonRole, held]) => [singletonRole, held.holder, held.address, held.term]),
+      ['role', 'holder', 'address', 'term'],
+      Object.entries(roles).map(([name, role]) => [name, role.holder, role.address, role.term]),
     ),
-  branches: ({ quotas, waiting, term }: View<'branches'>): string =>
-    `counter under epoch ${term}\n${table(
-      ['branch', 'share', 'used req', 'used tok', 'lent tok', 'borrowed tok', 'held tok', 'waiting'],
+  quotas: ({ quotas, waiting, term }: View<'quotas'>): string =>
+    `rate limits under term ${term}\n${table(
+      ['quota', 'share', 'used req', 'used tok', 'lent tok', 'borrowed tok', 'held tok', 'waiting'],
       quotas.map((one) => [
         one.quota,
         one.share.toFixed(3),
@@ -60,20 +68,13 @@
         waiting[one.quota] ?? 0,
       ]),
     )}`,
-  lots: ({ lots: batches }: View<'lots'>): string =>
+  batches: ({ batches }: View<'batches'>): string =>
     table(
-      ['lot', 'branch', 'service', 'handed in', 'items', 'states'],
-      batches.map((batch) => [
-        batch.id,
-        batch.quota,
-        batch.service,
-        new Date(batch.createdMs).toISOString(),
-        batch.items,
-        Object.entries(batch.counts)
-          .map(([state, items]) => `${state}:${items}`)
-          .join(' ') + (batch.ended ? ' (ended)' : ''),
-      ]),
+      ['batch', 'quota', 'service', 'submitted', 'items', 'states'],
+      batches.map((batch) => [batch.id, batch.quota, batch.service, new Date(batch.createdMs).toISOString(), batch.items, statesOf(batch)]),
     ),
+  configuration: ({ version, configuration }: View<'configuration'>): string =>
+    `version ${version}\n${JSON.stringify(configuration, null, 2)}`,
   history: ({ history }: View<'history'>): string =>
     table(
       ['version', 'confirmed', 'plan', 'differences'],
--- a/programs/pewterctl/src/views.ts
+++ b/programs/pewterctl/src/views.ts
@@ -8,7 +8,7 @@
 
 const Wanted = v.array(v.object({ name: v.string(), address: v.string() }));
 
-/** What the controller returns, as will reads it. Fields that a later version adds are passed over. */
+/** The controller's answers as pewterctl reads them. Fields that a later version adds are ignored. */
 export const views = {
   plan: v.object({
     id: v.string(),
@@ -19,11 +19,11 @@
   }),
   outcome: v.object({ outcome: v.string(), version: v.number(), error: v.optional(v.string()) }),
   error: v.object({ error: v.string(), findings: v.optional(v.array(v.object({ place: v.string(), message: v.string() })), []) }),
-  setup: v.object({ version: v.number(), setup: v.nullable(v.record(v.string(), v.unknown())) }),
+  configuration: v.object({ version: v.number(), configuration: v.nullable(v.record(v.string(), v.unknown())) }),
   history: v.object({ history: v.array(Confirmation) }),
   nodes: v.object({ nodes: v.array(v.object({ ...NodeRecord.entries, version: v.optional(v.number()) })) }),
   shards: v.object({ shards: v.array(v.object({ shard: v.string(), wanted: v.optional(Wanted), view: v.optional(ShardView) })) }),
-  duties: v.object({ duties: v.record(v.string(), SingletonRole) }),
-  branches: v.object({ term: v.number(), quotas: v.array(QuotaView), waiting: v.record(v.string(), v.number()) }),
-  lots: v.object({ lots: v.array(BatchView) }),
+  roles: v.object({ roles: v.record(v.string(), SingletonRole) }),
+  quotas: v.object({ term: v.number(), quotas: v.array(QuotaView), waiting: v.record(v.string(), v.number()) }),
+  batches: v.object({ batches: v.array(BatchView) }),
 };
--- a/testing/simulator/src/real/aim.ts
+++ b/testing/simulator/src/real/aim.ts
@@ -22,11 +22,11 @@
     return one;
   },
 
-  /** The machine that holds the dispatcher's duty. */
+  /** The machine that holds the dispatcher's role. */
   holder: async (fleet: Fleet): Promise<string> => {
-    const read = check(views.duties, (await fleet.controller('GET', '/v1/duties')).body);
-    const holder = read.ok ? read.value.duties['dispatch']?.holder : undefined;
-    if (holder === undefined) throw new Error('nobody holds the dispatcher duty');
+    const read = check(views.roles, (await fleet.controller('GET', '/v1/roles')).body);
+    const holder = read.ok ? read.value.roles['dispatch']?.holder : undefined;
+    if (holder === undefined) throw new Error('nobody holds the dispatcher role');
     return holder;
   },
 
--- a/testing/simulator/src/real/operator.ts
+++ b/testing/simulator/src/real/operator.ts
@@ -1,12 +1,12 @@
 import * as v from 'valibot';
-import { check, mergePatch } from '@pewterlanding/model';
+import { check, configurationFormat1, mergePatch, renameFields } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
 import type { HistoryEvent } from '../history/historyEvent.js';
 import type { Fleet } from './fleet.js';
 
 const Named = v.record(v.string(), v.unknown());
 /** What of a setup its callers would notice. */
-const Allowed = v.object({ services: Named, branches: Named, bounds: v.optional(v.object({ maxItems: v.optional(v.number()) }), {}) });
+const Allowed = v.object({ services: Named, quotas: Named, bounds: v.optional(v.object({ maxItems: v.optional(v.number()) }), {}) });
 
 /** An operator of a real fleet, who writes down what was planned, confirmed, refused and read back. */
 export class Operator {
@@ -19,9 +19,9 @@
   }
 
   async configuration(): Promise<Record<string, unknown>> {
-    const read = check(views.setup, (await this.#fleet.controller('GET', '/v1/setup')).body);
-    if (!read.ok) throw new Error('the setup cannot be read');
-    return read.value.setup ?? {};
+    const read = check(views.configuration, (await this.#fleet.controller('GET', '/v1/configuration')).body);
+    if (!read.ok) throw new Error('the configuration cannot be read');
+    return read.value.configuration ?? {};
   }
 
   /** Plans a shard of a setup and confirms it; the version in force, or undefined when it was refused or nothing is known. */
@@ -30,7 +30,7 @@
     const made = await this.#fleet.controller('POST', '/v1/plans', { part });
     const plan = check(views.plan, made.body);
     if (!plan.ok) throw new Error(`no plan: ${JSON.stringify(made)}`);
-    return this.#confirm(plan.value, mergePatch(before, part));
+    return this.#confirm(plan.value, mergePatch(before, renameFields(part, configurationFormat1)));
   }
 
   /** The first setup of a fleet, whole. */
@@ -45,8 +45,8 @@
   async readBack(): Promise<void> {
     const askedMs = Date.now();
     try {
-      const configuration = check(views.setup, (await this.#fleet.controller('GET', '/v1/setup')).body);
-      const history = check(views.history, (await this.#fleet.controller('GET', '/v1/setup/history')).body);
+      const configuration = check(views.configuration, (await this.#fleet.controller('GET', '/v1/configuration')).body);
+      const history = check(views.history, (await this.#fleet.controller('GET', '/v1/configuration/history')).body);
       if (!configuration.ok || !history.ok) return;
       const { version } = configuration.value;
       this.#note({ type: 'configurationRead', askedMs, atMs: Date.now(), version, plans: history.value.history.map((one) => one.plan) });
@@ -56,8 +56,8 @@
   }
 
   async #confirm({ id: plan, base }: { readonly id: string; readonly base: number }, next: unknown): Promise<number | undefined> {
-    const allowed = v.parse(Allowed, next);
-    const { services, branches: quotas, bounds } = allowed;
+    const allowed = v.parse(Allowed, renameFields(next, configurationFormat1));
+    const { services, quotas, bounds } = allowed;
     this.#note({
       type: 'planned',
       atMs: Date.now(),
--- a/testing/simulator/test/liveFleet.test.ts
+++ b/testing/simulator/test/liveFleet.test.ts
@@ -178,7 +178,7 @@
   });
 
   it('refuses setups with every finding, changes nothing, and lets one of two racing operators win', async () => {
-    const before = await fleet.controller('GET', '/v1/setup');
+    const before = await fleet.controller('GET', '/v1/configuration');
     const wrong = await fleet.controller('POST', '/v1/plans', {
       part: { quotas: { liege: { share: 0.9 }, x: { parent: 'y', share: 2 } }, services: { triage: { kind: 'other' } }, more: 1 },
     });
@@ -191,7 +191,7 @@
     );
     expect((await fleet.controller('POST', '/v1/plans', { both: 1 })).status).toEqual(400);
     expect((await fleet.controller('POST', '/v1/plans/none/confirm', {})).status).toEqual(404);
-    expect(await fleet.controller('GET', '/v1/setup')).toEqual(before);
+    expect(await fleet.controller('GET', '/v1/configuration')).toEqual(before);
     const plans = await Promise.all(
       [101, 102].map((batchConcurrencyLimit) => fleet.controller('POST', '/v1/plans', { part: { bounds: { batchConcurrencyLimit } } })),
     );
@@ -203,33 +203,33 @@
     expect(again.map((one) => one.status)).toEqual(outcomes.map((one) => one.status));
   });
 
-  it('can be read and changed by will, with exit codes for scripts', async () => {
+  it('can be read and changed by pewterctl, with exit codes for scripts', async () => {
     const controller = new ControllerClient(fleet.controllers(), 20_000);
-    const will = async (word: string, words: readonly string[] = [], more: { part?: boolean; acknowledge?: boolean } = {}) => {
+    const run = async (word: string, args: readonly string[] = [], more: { part?: boolean; acknowledge?: boolean } = {}) => {
       const command = commands[word];
       if (command === undefined) throw new Error(word);
-      return command({ controller, words, part: more.part ?? false, acknowledge: more.acknowledge ?? false });
+      return command.run({ controller, args, part: more.part ?? false, acknowledge: more.acknowledge ?? false });
     };
     const file = join(folder, 'change.json');
     const change = async (json: unknown, part = true) => {
       await writeFile(file, JSON.stringify(json));
-      return will('plan', [file], { part });
+      return run('plan', [file], { part });
     };
     const planOf = (text: string): string => /plan_[0-9a-f-]+/.exec(text)?.[0] ?? '';
     for (const [word, shown] of [
       ['nodes', 'front-2'],
       ['shards', 'lots-0'],
-      ['duties', 'dispatch'],
-      ['branches', 'ghent/recall'],
-      ['lots', 'COMPLETED:3'],
-      ['setup', 'version'],
+      ['roles', 'dispatch'],
+      ['quotas', 'ghent/recall'],
+      ['batches', 'COMPLETED:3'],
+      ['configuration', 'version'],
       ['history', 'version'],
       ['moves', 'no store'],
     ] as const) {
-      const told = await will(word);
+      const told = await run(word);
       expect([word, told.code, told.text.includes(shown)]).toEqual([word, exitCode.done, true]);
     }
-    expect((await will('audit')).code).toEqual(exitCode.done);
+    expect((await run('audit')).code).toEqual(exitCode.done);
     const wrong = await change({ bounds: { batchConcurrencyLimit: -1 }, quotas: { x: { share: 3 } } });
     expect([wrong.code, wrong.text.includes('bounds.batchConcurrencyLimit'), wrong.text.includes('quotas.x.share')]).toEqual([
       exitCode.findings,
@@ -239,16 +239,34 @@
     // Ending a service must be acknowledged.
     const ends = await change({ services: { referral: null } });
     expect([ends.code, ends.text.includes('! ends service referral')]).toEqual([exitCode.done, true]);
-    expect((await will('confirm', [planOf(ends.text)])).code).toEqual(exitCode.needsAcknowledgement);
+    expect((await run('confirm', [planOf(ends.text)])).code).toEqual(exitCode.needsAcknowledgement);
     const stale = await change({ bounds: { batchConcurrencyLimit: 55 } });
-    expect((await will('confirm', [planOf(ends.text)], { acknowledge: true })).code).toEqual(exitCode.done);
-    expect((await will('confirm', [planOf(stale.text)])).code).toEqual(exitCode.conflict);
-    expect((await will('confirm', ['plan_none'])).code).toEqual(exitCode.notFound);
+    expect((await run('confirm', [planOf(ends.text)], { acknowledge: true })).code).toEqual(exitCode.done);
+    expect((await run('confirm', [planOf(stale.text)])).code).toEqual(exitCode.conflict);
+    expect((await run('confirm', ['plan_none'])).code).toEqual(exitCode.notFound);
     expect((await ask('referral', 'ended-service')).status).toEqual(404);
-    expect((await will('empty', ['nobody'])).code).toEqual(exitCode.findings);
-    const thin = await will('empty', ['store-2']);
+    expect((await run('empty', ['nobody'])).code).toEqual(exitCode.findings);
+    const thin = await run('empty', ['store-2']);
     expect([thin.code, thin.text.includes('! leaves lots-0 with 2 copies')]).toEqual([exitCode.done, true]);
-    expect((await will('audit')).code).toEqual(exitCode.done);
+    expect((await run('audit')).code).toEqual(exitCode.done);
+  });
+
+  it('answers the old paths of the operator interface in their old form', async () => {
+    const read = async (path: string): Promise<string> => {
+      const { status, body } = await fleet.controller('GET', path);
+      expect([path, status]).toEqual([path, 200]);
+      return JSON.stringify(body);
+    };
+    for (const [path, old, present] of [
+      ['/v1/setup', '"branches":{', '"quotas":{'],
+      ['/v1/duties', '"epoch":', '"term":'],
+      ['/v1/branches', '"branch":"ghent/recall"', '"quota":'],
+      ['/v1/lots', '"branch":"ghent/recall"', '"quota":'],
+    ] as const) {
+      const text = await read(path);
+      expect([path, text.includes(old), text.includes(present)]).toEqual([path, true, false]);
+    }
+    expect(await read('/v1/setup/history')).toEqual(await read('/v1/configuration/history'));
   });
 
   it('survives the kill of a controller and a store machine, and every process ends politely', async () => {
