--- a/programs/controller/src/audit/auditArchive.ts
+++ b/programs/controller/src/audit/auditArchive.ts
@@ -4,11 +4,11 @@
 import { every, Journal, SerialQueue } from '@pewterlanding/runtime';
 import type { AuditHead } from './auditHead.js';
 import { AuditLine } from './auditLine.js';
-import { controllerCalls } from '../controllerCalls.js';
+import { auditCalls } from './auditCalls.js';
 
 const file = 'setup.audit';
 /** Lines asked of another controller at once: a few hundred kilobytes, far below what one message may hold. */
-const linesAtOnce = 256;
+const maxLinesPerAsk = 256;
 
 interface AuditArchiveOptions {
   readonly disk: Disk;
@@ -16,23 +16,24 @@
   readonly clock: Clock;
   readonly counters: Counters;
   readonly failureTimeoutMs: number;
-  /** The end of the trail as the setup shard holds it here. */
+  /** The end of the trail, from the configuration shard's state on this machine. */
   readonly head: () => AuditHead;
   /** The other controllers. */
   readonly peers: () => readonly Address[];
 }
 
 /**
- * The audit trail as this machine keeps it, in a file of its own beside the setup shard's. The replicated state holds only the
- * length and the hash of the chain, so it doesn't grow with the number of changes. What this file lacks (an empty disk, a snapshot
- * that jumped over entries) is asked of the other controllers; the chain of hashes shows whether what came is the trail.
+ * This machine's copy of the audit trail, in a file of its own beside the configuration shard's. The replicated state holds only
+ * the length and the hash of the chain, so it doesn't grow with the number of changes. Lines that this file lacks (after the loss
+ * of a disk, or a snapshot that skipped entries) are fetched from the other controllers; the hash chain shows whether they belong
+ * to the trail.
  */
 export class AuditArchive {
   readonly #options: AuditArchiveOptions;
   readonly #journal: Journal;
   readonly #queue = new SerialQueue();
   readonly #stop: () => void;
-  /** Versions that the file holds: all up to `#through`, and single ones above. */
+  /** Versions in the file: all up to `#through`, and the ones above it that are listed here. */
   readonly #above = new Set<number>();
   #through = 0;
   #filling: Promise<void> | undefined;
@@ -41,7 +42,7 @@
     this.#options = options;
     this.#journal = new Journal(options.disk, file);
     this.#queue.run(() => this.#open()).catch(() => options.counters.add('controller.auditUnreadable'));
-    options.transport.serve(controllerCalls.auditLines, async ({ after, limit }) => ({ lines: [...(await this.#held(after, limit))] }));
+    options.transport.serve(auditCalls.auditLines, async ({ after, limit }) => ({ lines: [...(await this.#linesAfter(after, limit))] }));
     this.#stop = every(options.clock, options.failureTimeoutMs, () => this.#fill());
   }
 
@@ -49,46 +50,46 @@
     this.#stop();
   }
 
-  /** Writes lines that the file doesn't hold yet. Nobody waits for it: the newest lines stand in the replicated state as well. */
+  /** Writes lines that the file lacks. Nothing waits for it: the newest lines are in the replicated state as well. */
   keep(lines: readonly AuditLine[]): void {
     this.#queue.run(() => this.#append(lines)).catch(() => this.#options.counters.add('controller.auditNotKept'));
   }
 
-  /** The newest lines in order, up to the end of the trail, asking other controllers for what this machine lacks. */
+  /** The newest lines in order, up to the end of the trail, fetching from other controllers what this machine lacks. */
   async newest(limit: number): Promise<readonly AuditLine[]> {
     this.keep(this.#options.head().newest);
     await this.#fill();
-    return this.#held(Math.max(0, this.#options.head().entries - limit), limit);
+    return this.#linesAfter(Math.max(0, this.#options.head().entries - limit), limit);
   }
 
   async #open(): Promise<void> {
     const { damaged, records } = await this.#journal.open();
     if (damaged) {
-      // The other controllers have it all.
+      // The lines are fetched again from the other controllers.
       this.#options.counters.add('controller.auditDamaged');
       await this.#journal.rewrite([]);
     }
-    for (const line of readLines(records)) this.#note(line.confirmation.version);
+    for (const line of readLines(records)) this.#add(line.confirmation.version);
   }
 
   async #append(lines: readonly AuditLine[]): Promise<void> {
-    const missing = lines.filter(({ confirmation }) => !this.#holds(confirmation.version));
+    const missing = lines.filter(({ confirmation }) => !this.#has(confirmation.version));
     if (missing.length === 0) return;
     await this.#journal.append(missing);
-    for (const { confirmation } of missing) this.#note(confirmation.version);
+    for (const { confirmation } of missing) this.#add(confirmation.version);
   }
 
-  #holds(version: number): boolean {
+  #has(version: number): boolean {
     return version <= this.#through || this.#above.has(version);
   }
 
-  #note(version: number): void {
-    if (!this.#holds(version)) this.#above.add(version);
+  #add(version: number): void {
+    if (!this.#has(version)) this.#above.add(version);
     while (this.#above.delete(this.#through + 1)) this.#through += 1;
   }
 
-  /** Read from the file each time: the trail of a day is long, and seldom asked for. */
-  #held(after: number, limit: number): Promise<readonly AuditLine[]> {
+  /** Reads the file each time: a day's trail is large, and seldom read. */
+  #linesAfter(after: number, limit: number): Promise<readonly AuditLine[]> {
     return this.#queue.run(async () => {
       const byVersion = new Map<number, AuditLine>();
       for (const line of readLines((await this.#journal.open()).records)) byVersion.set(line.confirmation.version, line);
@@ -99,23 +100,23 @@
     });
   }
 
-  /** Asks the others for what is missing below the end of the trail. */
+  /** Fetches what is missing up to the end of the trail; concurrent calls share one run. */
   #fill(): Promise<void> {
-    this.#filling ??= this.#ask().finally(() => {
+    this.#filling ??= this.#fetch().finally(() => {
       this.#filling = undefined;
     });
     return this.#filling;
   }
 
-  async #ask(): Promise<void> {
+  async #fetch(): Promise<void> {
     const { transport, peers, head, failureTimeoutMs, counters } = this.#options;
-    // What was told to be kept is on the disk before it is missed.
+    // Lines still in the queue are not missing.
     await this.#queue.run(async () => undefined);
     for (const peer of peers()) {
       while (this.#through < head().entries) {
         const before = this.#through;
-        const body = { after: before, limit: linesAtOnce };
-        const response = await transport.ask(peer, controllerCalls.auditLines, body, failureTimeoutMs).catch(() => undefined);
+        const body = { after: before, limit: maxLinesPerAsk };
+        const response = await transport.ask(peer, auditCalls.auditLines, body, failureTimeoutMs).catch(() => undefined);
         this.keep(response?.lines ?? []);
         await this.#queue.run(async () => undefined);
         if (this.#through === before) break;
--- a/programs/controller/src/audit/auditEntry.ts
+++ b/programs/controller/src/audit/auditEntry.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { Count, PlanId } from '@pewterlanding/model';
 
-/** What is signed of one confirmed setup. `previous` is the SHA-256 of the signed entry before it, so none can go or move. */
+/** The signed content for one version. `previous` is the SHA-256 of the signed entry before it, so none can be removed or moved. */
 export const AuditEntry = v.strictObject({
   version: Count,
   plan: PlanId,
--- a/programs/controller/src/audit/auditService.ts
+++ b/programs/controller/src/audit/auditService.ts
@@ -2,20 +2,20 @@
 import { AuditArchive } from './auditArchive.js';
 import { auditHash } from './auditHash.js';
 import type { AuditSigner } from './auditSigner.js';
-import { controllerCalls } from '../controllerCalls.js';
+import { auditCalls } from './auditCalls.js';
 import { nextEntry } from './nextEntry.js';
-import type { ConfigurationCommand } from '../configuration/configurationCommand.js';
-import type { ConfigurationShard } from '../configuration/configurationShard.js';
+import type { AuditCommand } from './auditCommand.js';
+import type { AuditedState } from './auditedState.js';
 
-/** Confirmations that an operator reads at once. */
-const historyLines = 200;
+/** How many confirmations one read of the history returns. */
+const maxHistoryLines = 200;
 
 interface AuditServiceOptions extends Omit<ConstructorParameters<typeof AuditArchive>[0], 'head'> {
-  readonly machine: ConfigurationShard;
+  readonly machine: AuditedState;
   readonly signer?: AuditSigner | undefined;
-  /** Resolves once what this machine holds is surely the newest; only on the leader. */
+  /** Resolves once this machine has confirmed that it leads, so that its state is the newest; rejects elsewhere. */
   readonly confirmed: () => Promise<void>;
-  readonly propose: (id: string, command: ConfigurationCommand) => Promise<unknown>;
+  readonly propose: (id: string, command: AuditCommand) => Promise<unknown>;
 }
 
 /** Signs confirmed versions on the leader, and serves the trail and the history from this machine's audit file. */
@@ -46,7 +46,7 @@
 
   #serve(): void {
     const { transport, machine, confirmed } = this.#options;
-    transport.serve(controllerCalls.audit, () =>
+    transport.serve(auditCalls.audit, () =>
       replyAsLeader(async () => {
         await confirmed();
         // What was confirmed a moment ago is signed before the trail is shown.
@@ -56,10 +56,10 @@
         return { version, entries: lines.map((line) => line.entry), keys: [...auditKeys] };
       }),
     );
-    transport.serve(controllerCalls.history, () =>
+    transport.serve(auditCalls.history, () =>
       replyAsLeader(async () => {
         await confirmed();
-        const lines = await this.archive.newest(historyLines);
+        const lines = await this.archive.newest(maxHistoryLines);
         const signed = lines.map((line) => line.confirmation);
         const through = signed.at(-1)?.version ?? 0;
         return [...signed, ...machine.history.filter((one) => one.version > through)];
--- a/programs/controller/src/audit/auditSigner.ts
+++ b/programs/controller/src/audit/auditSigner.ts
@@ -10,7 +10,7 @@
 const algorithm = 'ES256';
 const Jwk = v.looseObject({ kty: v.string(), kid: v.string(), crv: v.string(), x: v.string(), y: v.string(), d: v.string() });
 
-/** Signs entries of the audit trail with a key that is minted with the machine's disk. */
+/** Signs entries of the audit trail with this machine's key, which is generated at the first start and stored on its disk. */
 export class AuditSigner {
   readonly #key: v.InferOutput<typeof Jwk>;
 
@@ -29,7 +29,7 @@
     return new AuditSigner(key);
   }
 
-  /** The half of the key that anybody may have. */
+  /** The public key as a JWK. */
   get publicKey(): JWK {
     const { kty, kid, crv, x, y } = this.#key;
     return { kty, kid, crv, x, y, alg: algorithm, use: 'sig' };
--- a/programs/controller/src/audit/auditTrail.ts
+++ b/programs/controller/src/audit/auditTrail.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
 
-/** The trail as anybody may check it: compact JWS entries in order, and the public keys that signed them. */
+/** The whole trail, which anybody may verify: compact JWS entries in order, and the public keys (JWK) of their signers. */
 export const AuditTrail = v.strictObject({
   version: Count,
   entries: v.array(v.string()),
--- a/programs/controller/src/audit/nextEntry.ts
+++ b/programs/controller/src/audit/nextEntry.ts
@@ -1,13 +1,13 @@
 import { auditHash } from './auditHash.js';
 import type { AuditSigner } from './auditSigner.js';
-import type { ConfigurationCommand } from '../configuration/configurationCommand.js';
-import type { ConfigurationShard } from '../configuration/configurationShard.js';
+import type { AuditCommand } from './auditCommand.js';
+import type { AuditedState } from './auditedState.js';
 
-/** The signed entry of the next version that has none yet. */
+/** The signed entry of the next version that has none yet; undefined without a signer, or where every version has one. */
 export async function nextEntry(
   signer: AuditSigner | undefined,
-  { auditHead, history }: ConfigurationShard,
-): Promise<Extract<ConfigurationCommand, { kind: 'audit' }> | undefined> {
+  { auditHead, history }: Pick<AuditedState, 'auditHead' | 'history'>,
+): Promise<AuditCommand | undefined> {
   const next = history.find((one) => one.version === auditHead.entries + 1);
   if (signer === undefined || next === undefined) return undefined;
   const { version, plan, atMs } = next;
--- a/programs/controller/src/audit/verifyAudit.ts
+++ b/programs/controller/src/audit/verifyAudit.ts
@@ -11,7 +11,7 @@
 
 /**
  * Checks a trail: each entry signed by a known key, each naming the one before it, none missing up to the version in force.
- * `trusted` are keys kept elsewhere; without them the trail's own are taken, which shows changes but not a trail forged whole.
+ * `trusted` are public keys kept elsewhere; without them the trail's own are used, which detects changes but no trail forged whole.
  */
 export async function verifyAudit(
   trail: AuditTrail,
--- a/programs/controller/src/configuration/changedItems.ts
+++ b/programs/controller/src/configuration/changedItems.ts
@@ -1,5 +1,5 @@
 import type { Configuration } from '@pewterlanding/model';
-import type { Difference } from './difference.js';
+import type { Difference } from '../audit/difference.js';
 
 /** The history is read whole: one line of it must stay short, however much was changed. */
 const maxPlaces = 50;
--- a/programs/controller/src/configuration/differencesOf.ts
+++ b/programs/controller/src/configuration/differencesOf.ts
@@ -1,4 +1,4 @@
-import type { Difference } from './difference.js';
+import type { Difference } from '../audit/difference.js';
 
 type Fields = Readonly<Record<string, unknown>>;
 
--- a/programs/controller/src/configuration/plan.ts
+++ b/programs/controller/src/configuration/plan.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { Count, PlanId, Configuration } from '@pewterlanding/model';
-import { Difference } from './difference.js';
+import { Difference } from '../audit/difference.js';
 import { Effect } from './effect.js';
 import { PlanOutcome } from './planOutcome.js';
 
--- a/programs/controller/src/configuration/serveConfigurationChanges.ts
+++ b/programs/controller/src/configuration/serveConfigurationChanges.ts
@@ -1,7 +1,7 @@
 import { replyAsLeader } from '@pewterlanding/consensus';
 import type { Counters, Transport } from '@pewterlanding/runtime';
 import { TransportError } from '@pewterlanding/runtime';
-import { controllerCalls } from '../controllerCalls.js';
+import { configurationCalls } from './configurationCalls.js';
 import type { ConfigurationCommand } from './configurationCommand.js';
 import type { ConfigurationShard } from './configurationShard.js';
 import type { ConfigurationReturn } from './configurationReturn.js';
@@ -11,20 +11,20 @@
   readonly counters: Counters;
   readonly machine: ConfigurationShard;
   readonly wallMs: () => number;
-  /** Resolves once what this machine holds is surely the newest; only on the leader. */
+  /** Resolves once this machine has confirmed that it leads, so that its state is the newest; rejects elsewhere. */
   readonly confirmed: () => Promise<void>;
   readonly propose: (id: string, command: ConfigurationCommand) => Promise<ConfigurationReturn>;
-  /** Sends the setup in force on its way to all. */
+  /** Sends the configuration in force to every node. */
   readonly publish: () => void;
 }
 
-/** Serves changes put in one call: acknowledged once durable at a majority and on their way; no front is waited for. */
+/** Serves changes in one call: acknowledged once durable at a majority and published; no front is waited for. */
 export function serveConfigurationChanges(options: ConfigurationChangesOptions): void {
   const { transport, counters, machine, confirmed, propose, publish } = options;
-  transport.serve(controllerCalls.set, ({ change }) =>
+  transport.serve(configurationCalls.set, ({ change }) =>
     replyAsLeader(async () => {
       await confirmed();
-      // Only what would be taken is logged, so that what is refused costs no disk.
+      // Only a change that would be accepted is logged, so that refused ones cost no disk.
       const { version } = machine;
       const judged = machine.judge(change);
       if (judged.next === undefined) {
@@ -32,7 +32,7 @@
         publish();
         return judged.outcome;
       }
-      // Named after the version it was judged on: what lost a race may be judged anew on a later one.
+      // The id names the version that the change was judged on, so that one that lost a race may be proposed again on a later version.
       const id = `set/${version}/${change.revision}/${change.hash}`;
       const { change: outcome } = await propose(id, { kind: 'set', change, atMs: options.wallMs() });
       if (outcome === undefined) throw new TransportError('refused', 'no outcome');
--- a/programs/controller/src/operator-api/operatorApi.ts
+++ b/programs/controller/src/operator-api/operatorApi.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@pewterlanding/runtime';
 import type { AuditTrail } from '../audit/auditTrail.js';
 import type { ChangeOutcome } from '../configuration/changeOutcome.js';
-import type { Confirmation } from '../configuration/confirmation.js';
+import type { Confirmation } from '../audit/confirmation.js';
 import { controllerCalls } from '../controllerCalls.js';
 import type { Plan } from '../configuration/plan.js';
 import type { PlanOutcome } from '../configuration/planOutcome.js';
--- a/programs/controller/src/replicas/replicaRegistry.ts
+++ b/programs/controller/src/replicas/replicaRegistry.ts
@@ -4,7 +4,7 @@
 import { every } from '@pewterlanding/runtime';
 import type { Configuration } from '@pewterlanding/model';
 import type { Clock, Counters, Disk, Transport } from '@pewterlanding/runtime';
-import { ControllerContacts } from '../controllerContacts.js';
+import { ControllerContacts } from './controllerContacts.js';
 import { controllerCalls } from '../controllerCalls.js';
 import { KnownInstances } from './knownInstances.js';
 
--- a/programs/controller/test/operatorApiVersion1.test.ts
+++ b/programs/controller/test/operatorApiVersion1.test.ts
@@ -128,6 +128,7 @@
       { error: 'another configuration is in force', mark: 9 },
     ]);
     const places = [
+      'mark',
       'revision',
       'quotas.x.share',
       'routes.one.quota',
--- a/testing/simulator/src/model/modelMutations.ts
+++ b/testing/simulator/src/model/modelMutations.ts
@@ -43,7 +43,7 @@
     ...at,
     name: 'repeatIsKnown',
     edits: [
-      { file: 'programs/controller/dist/src/configuration/configurationShard.js', text: "if (known === 'same')", instead: 'if (false)' },
+      { file: 'programs/controller/dist/src/configuration/changeRegister.js', text: "if (known === 'same')", instead: 'if (false)' },
     ],
   },
 ];
--- a/testing/simulator/src/mutation/consensusMutations.ts
+++ b/testing/simulator/src/mutation/consensusMutations.ts
@@ -10,23 +10,21 @@
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'programs/controller/dist/test/configurationGrowth.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/configuration/configurationShard.js`, text: "if (known === 'same')", instead: 'if (false)' }],
+    edits: [{ file: `${controller}/configuration/changeRegister.js`, text: "if (known === 'same')", instead: 'if (false)' }],
   },
   {
     name: 'oneNumberOneChange',
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'programs/controller/dist/test/configurationGrowth.test.js',
     seeds: [1, 2, 3],
-    edits: [
-      { file: `${controller}/configuration/configurationShard.js`, text: "(known === 'other' && revision > held)", instead: 'false' },
-    ],
+    edits: [{ file: `${controller}/configuration/changeRegister.js`, text: "(known === 'other' && revision > current)", instead: 'false' }],
   },
   {
     name: 'historyIsBounded',
     rule: 'service stays below a quarter after repair',
     scenario: 'programs/controller/dist/test/configurationGrowth.test.js',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/configuration/configurationShard.js`, text: '.slice(-keptConfirmations)', instead: '' }],
+    edits: [{ file: `${controller}/configuration/signedHistory.js`, text: '.slice(-maxSignedConfirmations)', instead: '' }],
   },
   {
     name: 'auditFileIsFilled',
--- a/testing/simulator/src/mutation/controlMutations.ts
+++ b/testing/simulator/src/mutation/controlMutations.ts
@@ -13,7 +13,7 @@
     ci: true,
     edits: [
       {
-        file: `${controller}/configuration/configurationShard.js`,
+        file: `${controller}/configuration/changeRegister.js`,
         text: "if (known === 'same')",
         instead: 'if (false)',
       },
@@ -26,8 +26,8 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${controller}/configuration/configurationShard.js`,
-        text: "if (basedOn !== held || (known === 'other' && revision > held))",
+        file: `${controller}/configuration/changeRegister.js`,
+        text: "if (basedOn !== current || (known === 'other' && revision > current))",
         instead: 'if (false)',
       },
       // The number alone would tell most of them apart.
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -160,7 +160,7 @@
     rule: 'a confirmed setup is forgotten, or a refused one takes effect',
     scenario: 'racingOperators',
     seeds: [1, 2, 3],
-    edits: [{ file: `${controller}/configuration/configurationShard.js`, text: 'plan.base !== version || ', instead: '' }],
+    edits: [{ file: `${controller}/configuration/planRegister.js`, text: 'plan.base !== version || ', instead: '' }],
   },
   {
     name: 'termBeforeARead',
