--- a/programs/controller/src/configuration/acceptedChanges.ts
+++ b/programs/controller/src/configuration/acceptedChanges.ts
@@ -1,9 +1,9 @@
 import { PackedRing } from './packedRing.js';
 
-/** More changes than a day brings by far: one every eleven seconds, around the clock. */
+/** Far more changes than a day brings: one every eleven seconds, around the clock. */
 const maxChanges = 8192;
 
-/** Which changes were taken, by the operator's number and the content: the same one sent again has its effect already. */
+/** Which changes were accepted, by the operator's number and the content's hash: the same one sent again has its effect already. */
 export class AcceptedChanges {
   static readonly schema = PackedRing.schema;
   readonly #ring = new PackedRing(maxChanges);
@@ -12,7 +12,7 @@
     this.#ring.add(revision, hash);
   }
 
-  /** Whether this change was taken, or another one under its number. */
+  /** Whether this change was accepted (`same`), or another one under its number. */
   find(revision: number, hash: string): 'same' | 'other' | undefined {
     const packed = PackedRing.hash(hash);
     const known = this.#ring.find(({ number }) => number === revision);
--- a/programs/controller/src/configuration/changeOutcome.ts
+++ b/programs/controller/src/configuration/changeOutcome.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
 
-/** What became of a change put in one call: `taken` also when it was taken before; `conflict` when another setup is in force. */
+/** What became of a change in one call: `taken` also when it was accepted before; `conflict` when another configuration is in force. */
 export const ChangeOutcome = v.strictObject({
   outcome: v.picklist(['taken', 'conflict', 'invalid']),
-  /** The operator's number of the setup in force now. */
+  /** The operator's number of the configuration in force now. */
   revision: Count,
   findings: v.array(v.strictObject({ place: v.string(), message: v.string() })),
 });
--- a/programs/controller/src/configuration/changedConfiguration.ts
+++ b/programs/controller/src/configuration/changedConfiguration.ts
@@ -6,7 +6,7 @@
 
 type Items = Readonly<Record<string, unknown>>;
 
-/** The setup that a change makes of the one in force, checked whole, or all its findings. A pure function: every member runs it. */
+/** What a change makes of the configuration in force, checked as a whole, or all findings. A pure function: every member runs it. */
 export function changedConfiguration({ change, revision }: ConfigurationChange, now: Configuration | undefined): Checked<Configuration> {
   if (revision <= (now?.revision ?? 0)) return { ok: false, findings: [{ place: 'mark', message: `must be above ${now?.revision ?? 0}` }] };
   const read =
@@ -19,7 +19,7 @@
   return findings.length > 0 ? { ok: false, findings } : { ok: true, value: next };
 }
 
-/** What operators of this way do not state stays: who keeps the shards, and how many there are. */
+/** Keeps what such a document does not state: which machines hold the shards, and how many shards there are. */
 function whole(document: Items, now: Configuration | undefined): Items {
   if (now === undefined) return { quotas: {}, ...document };
   const { controllers, stores, emptying, batchShards, serviceShards, copies } = now;
@@ -31,10 +31,10 @@
   revision: number,
   now: Configuration | undefined,
 ): Checked<Configuration> {
-  // Branches that were made from the routes follow them.
-  const quotas = now === undefined || derived(now) ? {} : now.quotas;
+  // Quotas that were derived from the routes are derived anew.
+  const quotas = now === undefined || hasDerivedQuotas(now) ? {} : now.quotas;
   const changed = upgraded({ routes: change.routes, services: change.services });
-  // What is in force was read when it was put there: of a large setup only the new items have to be.
+  // The rest was checked when it was put in force: of a large configuration only the new items have to be.
   const read = check(Configuration, { ...now, quotas, routes: changed['routes'], services: changed['services'], revision });
   if (!read.ok) return read;
   const routes = replaced(now?.routes, read.value.routes, change.drop.routes);
@@ -42,21 +42,25 @@
   return { ok: true, value: { ...read.value, routes, services } };
 }
 
-/** A document in the present format; operators may still write that of version 1. */
+/** A document in the present format; operators may still write format 1. */
 function upgraded(document: Items): Items {
   const renamed = renameFields(document, configurationFormat1);
   return isFields(renamed) ? renamed : document;
 }
 
-function replaced<V>(held: Readonly<Record<string, V>> = {}, put: Readonly<Record<string, V>>, drop: readonly string[]): Record<string, V> {
-  const all = new Map(Object.entries(held));
+function replaced<V>(
+  current: Readonly<Record<string, V>> = {},
+  put: Readonly<Record<string, V>>,
+  drop: readonly string[],
+): Record<string, V> {
+  const all = new Map(Object.entries(current));
   for (const name of drop) all.delete(name);
   for (const [name, item] of Object.entries(put)) all.set(name, item);
   return Object.fromEntries(all);
 }
 
-/** Whether a setup's branches are those its routes would give it. */
-function derived(configuration: Configuration): boolean {
+/** Whether a configuration's quotas are those that its routes would give it. */
+function hasDerivedQuotas(configuration: Configuration): boolean {
   const made = entriesOf(withQuotas({ ...configuration, quotas: {} }).quotas);
   return (
     made.length === entriesOf(configuration.quotas).length &&
--- a/programs/controller/src/configuration/changedItems.ts
+++ b/programs/controller/src/configuration/changedItems.ts
@@ -1,10 +1,10 @@
 import type { Configuration } from '@pewterlanding/model';
 import type { Difference } from '../audit/difference.js';
 
-/** The history is read whole: one line of it must stay short, however much was changed. */
+/** The history is read whole, so each line must stay short, however much was changed. */
 const maxPlaces = 50;
 
-/** Which items two setups differ in, without what stands in them. */
+/** The names of the items in which two configurations differ, without their content. */
 export function changedItems(before: Configuration | undefined, after: Configuration): Difference[] {
   const places: string[] = [];
   const compare = (was: Readonly<Record<string, unknown>>, is: Readonly<Record<string, unknown>>, path: string): void => {
--- a/programs/controller/src/configuration/completedPlans.ts
+++ b/programs/controller/src/configuration/completedPlans.ts
@@ -2,12 +2,12 @@
 import { PackedRing } from './packedRing.js';
 import type { PlanOutcome } from './planOutcome.js';
 
-/** Many more plans than operators settle while one of them may still ask again. */
+/** Many more plans than operators complete while a confirmation may still be sent again. */
 const maxPlans = 1024;
-/** What a settled plan may have come to; its place is written, so none may move. */
+/** Outcomes of completed plans. The position is stored, so the order must not change. */
 const outcomes = ['confirmed', 'conflict'] as const;
 
-/** What became of plans whose document is gone: a confirmation sent again has the answer it had. */
+/** The outcomes of plans whose document was dropped: a confirmation sent again gets the same answer. */
 export class CompletedPlans {
   static readonly schema = PackedRing.schema;
   readonly #ring = new PackedRing(maxPlans);
--- a/programs/controller/src/configuration/configurationChange.ts
+++ b/programs/controller/src/configuration/configurationChange.ts
@@ -3,11 +3,11 @@
 
 const Items = v.record(v.string(), v.unknown());
 
-/** A setup put in force in one call: the whole of it, or named routes and services put in place or taken out of the one it builds on. */
+/** A change in one call: a whole configuration, or routes and services that are put in place or removed by name. */
 export const ConfigurationChange = v.strictObject({
-  /** The operator's number of the setup it builds on; 0 where there is none. */
+  /** The operator's number of the configuration that it builds on; 0 where there is none. */
   basedOn: Count,
-  /** The operator's own number for the new setup; must be above the present one. */
+  /** The operator's own number for the new configuration; must be above the present one. */
   revision: Count,
   /** Tells the same change sent again from another one under the same number. */
   hash: v.string(),
--- a/programs/controller/src/configuration/configurationFindings.ts
+++ b/programs/controller/src/configuration/configurationFindings.ts
@@ -3,12 +3,12 @@
 import { QuotaTree } from '@pewterlanding/rate-limit';
 import { routeFindings } from './routeFindings.js';
 
-/** What no schema can tell of a setup: whether its shards fit each other and the setup before it. */
+/** What no schema can tell of a configuration: whether its sections fit each other and the configuration before it. */
 export function configurationFindings(next: Configuration, now: Configuration | undefined): readonly Finding[] {
   const findings: Finding[] = [...QuotaTree.findings(new Map(entriesOf(next.quotas))), ...routeFindings(next)];
   const stores = entriesOf(next.stores);
   const staying = stores.filter(([name]) => !next.emptying.includes(name));
-  // Machines that join by themselves stand in no setup.
+  // Machines that join by announcing themselves are listed in no configuration.
   if (!next.joining) {
     for (const name of next.emptying)
       if (next.stores[name] === undefined) findings.push({ place: 'emptying', message: `no store ${name}` });
@@ -29,11 +29,10 @@
   }
   if (now === undefined) return findings;
   for (const key of ['batchShards', 'serviceShards'] as const) {
-    if (next[key] !== now[key]) findings.push({ place: key, message: `cannot change once founded; it is ${now[key]}` });
+    if (next[key] !== now[key]) findings.push({ place: key, message: `cannot change after the bootstrap; it is ${now[key]}` });
   }
-  // A store that still has copies must be emptied before it is taken out, unless it is lost for good.
-  const controllersKept = entriesOf(now.controllers).filter(([name]) => next.controllers[name] !== undefined);
-  if (!next.joining && controllersKept.length * 2 <= entriesOf(now.controllers).length)
+  const remainingControllers = entriesOf(now.controllers).filter(([name]) => next.controllers[name] !== undefined);
+  if (!next.joining && remainingControllers.length * 2 <= entriesOf(now.controllers).length)
     findings.push({ place: 'controllers', message: 'a majority of the controller must stay; change one machine at a time' });
   return findings;
 }
--- a/programs/controller/src/configuration/configurationReturn.ts
+++ b/programs/controller/src/configuration/configurationReturn.ts
@@ -3,7 +3,7 @@
 import { ChangeOutcome } from './changeOutcome.js';
 import { PlanOutcome } from './planOutcome.js';
 
-/** What a command on the setup shard brings. */
+/** What a command on the configuration shard returns; remembered commands store it. */
 export const ConfigurationReturn = v.strictObject({
   outcome: v.optional(PlanOutcome),
   singletonRole: v.optional(SingletonRole),
--- a/programs/controller/src/configuration/packedRing.ts
+++ b/programs/controller/src/configuration/packedRing.ts
@@ -4,11 +4,11 @@
 import { RingCapacityError } from './ringCapacityError.js';
 
 const numberBytes = 8;
-/** Half of a SHA-256: 128 bits leave no two documents to be found that share it. */
+/** Half of a SHA-256: with 128 bits nobody finds two documents that share it. */
 const hashBytes = 16;
 const recordBytes = numberBytes + hashBytes;
 
-/** A ring as it stands in a snapshot. `written` counts every record ever written. */
+/** A ring as snapshots store it. `written` counts every record ever written. */
 const Packed = v.strictObject({ written: Count, bytes: v.instance(Uint8Array) });
 type Packed = v.InferOutput<typeof Packed>;
 
@@ -19,8 +19,8 @@
 }
 
 /**
- * The newest records of a number and a hash, in 24 bytes each. Its whole size is taken when it is made, so that neither memory nor
- * a snapshot grows with what is written; past its capacity the oldest record gives way. All members of a shard forget alike.
+ * The newest records of a number and a hash, in 24 bytes each. The whole buffer is allocated at once, so that neither memory nor
+ * snapshots grow with what is written; past the capacity the oldest record is overwritten, at every member of a shard alike.
  */
 export class PackedRing {
   static readonly schema = Packed;
@@ -44,13 +44,13 @@
     this.#written += 1;
   }
 
-  /** The newest record that fits, if there is one. */
-  find(fits: (record: PackedRecord) => boolean): PackedRecord | undefined {
+  /** The newest matching record, if there is one. */
+  find(matches: (record: PackedRecord) => boolean): PackedRecord | undefined {
     const oldest = Math.max(0, this.#written - this.#capacity);
     for (let position = this.#written - 1; position >= oldest; position -= 1) {
       const at = (position % this.#capacity) * recordBytes;
       const record = { number: this.#bytes.readDoubleBE(at), hash: this.#bytes.subarray(at + numberBytes, at + recordBytes) };
-      if (fits(record)) return record;
+      if (matches(record)) return record;
     }
     return undefined;
   }
@@ -59,10 +59,11 @@
     return { written: this.#written, bytes: Uint8Array.from(this.#bytes) };
   }
 
+  /** Throws a `RingCapacityError` where the snapshot's ring has another capacity. */
   restore({ written, bytes }: Packed): void {
     if (bytes.length !== this.#capacity * recordBytes) throw new RingCapacityError(bytes.length);
     this.#written = written;
-    // What was decoded may be a view into a much larger buffer.
+    // Decoded bytes may be a view into a much larger buffer, which must not stay in memory.
     this.#bytes = Buffer.from(Uint8Array.from(bytes).buffer);
   }
 }
--- a/programs/controller/src/configuration/plan.ts
+++ b/programs/controller/src/configuration/plan.ts
@@ -4,7 +4,7 @@
 import { Effect } from './effect.js';
 import { PlanOutcome } from './planOutcome.js';
 
-/** A proposed setup, with all that an operator should read before confirming it. */
+/** A proposed configuration, with all that an operator should read before confirming it. `base` is the version it builds on. */
 export const Plan = v.strictObject({
   id: PlanId,
   base: Count,
--- a/programs/controller/src/configuration/shardTable.ts
+++ b/programs/controller/src/configuration/shardTable.ts
@@ -5,6 +5,7 @@
 import type { Placement } from '../placement/placement.js';
 import { wantedShards } from '../placement/wantedShards.js';
 import type { ConfigurationReturn } from './configurationReturn.js';
+import { configurationShardName } from './configurationShardName.js';
 import type { ConfigurationState } from './configurationState.js';
 
 /** Which shards there are and which machines hold them, in the configuration shard's state. */
@@ -16,7 +17,9 @@
 
   /** The shards that the configuration wants but that have no first members yet. */
   notBootstrapped(state: ConfigurationState): readonly string[] {
-    return [...shardTable.wanted(state).keys()].filter((shard) => shard !== 'setup' && state.bootstrapped[shard] === undefined);
+    return [...shardTable.wanted(state).keys()].filter(
+      (shard) => shard !== configurationShardName && state.bootstrapped[shard] === undefined,
+    );
   },
 
   table(state: ConfigurationState): ShardMap {
--- a/programs/controller/src/controller.ts
+++ b/programs/controller/src/controller.ts
@@ -1,193 +1,152 @@
-import * as v from 'valibot';
-import type { Member } from '@pewterlanding/consensus';
-import { bootstrapGroup, GroupReconciler, LeaderFinder, replyAsLeader, ShardHost, ShardMap } from '@pewterlanding/consensus';
+import type { Member, ShardMap } from '@pewterlanding/consensus';
+import { bootstrapGroup, GroupReconciler, LeaderFinder, ShardHost } from '@pewterlanding/consensus';
 import type { SingletonRole } from '@pewterlanding/agent';
-import { agentToControllerCalls, updateKeys } from '@pewterlanding/agent';
-import { VersionedConfiguration } from '@pewterlanding/model';
+import type { Address, VersionedConfiguration } from '@pewterlanding/model';
 import { every, pause, TransportError } from '@pewterlanding/runtime';
-import type { Address } from '@pewterlanding/model';
 import { announceGroup } from '@pewterlanding/store';
 import { AuditService } from './audit/auditService.js';
-import { controllerCalls } from './controllerCalls.js';
+import type { ConfigurationCommand } from './configuration/configurationCommand.js';
+import { ConfigurationFreshness } from './configuration/configurationFreshness.js';
+import { ConfigurationPublisher } from './configuration/configurationPublisher.js';
+import type { ConfigurationReturn } from './configuration/configurationReturn.js';
+import { ConfigurationShard } from './configuration/configurationShard.js';
+import { configurationShardName } from './configuration/configurationShardName.js';
+import { serveConfiguration } from './configuration/serveConfiguration.js';
+import { serveConfigurationChanges } from './configuration/serveConfigurationChanges.js';
 import type { ControllerOptions } from './controllerOptions.js';
+import { BatchShardClient } from './dispatcher/batchShardClient.js';
 import type { Dispatcher } from './dispatcher/dispatcher.js';
 import { DispatchRole } from './dispatcher/dispatchRole.js';
+import { waitingItems } from './dispatcher/waitingItems.js';
 import { firstStart } from './firstStart.js';
-import { ConfigurationFreshness } from './configuration/configurationFreshness.js';
-import { BatchShardClient } from './dispatcher/batchShardClient.js';
-import { makePlan } from './configuration/makePlan.js';
 import { initialGroup } from './placement/initialGroup.js';
 import { PlacementController } from './placement/placementController.js';
 import { ReplicaRegistry } from './replicas/replicaRegistry.js';
-import { serveConfigurationChanges } from './configuration/serveConfigurationChanges.js';
 import { ServiceRegistry } from './replicas/serviceRegistry.js';
-import type { ConfigurationCommand } from './configuration/configurationCommand.js';
-import { ConfigurationShard } from './configuration/configurationShard.js';
-import type { ConfigurationReturn } from './configuration/configurationReturn.js';
-import { waitingItems } from './dispatcher/waitingItems.js';
-import { withoutSourceDocuments } from './configuration/withoutSourceDocuments.js';
+import { ShardAddresses } from './shardAddresses.js';
 
-/** One machine of the controller: a member of the setup shard and of service shards, and perhaps the dispatcher. */
+/**
+ * One controller machine: a member of the configuration shard and of service shards, and a candidate for the dispatcher's role.
+ * It serves calls as soon as it is made; `start` makes it a member.
+ */
 export class Controller {
+  /** Asks the leaders of shards. */
   readonly finder: LeaderFinder;
   readonly services: ServiceRegistry;
-  /** Takes the words of replicas that speak to the controller. */
+  /** Replicas that send their heartbeats to the controller. */
   readonly watch: ReplicaRegistry;
   readonly #options: ControllerOptions;
   readonly #host: ShardHost;
   readonly #machine = new ConfigurationShard((line) => this.#audit.archive.keep([line]));
+  readonly #addresses: ShardAddresses;
+  readonly #publisher: ConfigurationPublisher;
   readonly #audit: AuditService;
-  readonly #fresh: ConfigurationFreshness;
+  readonly #freshness: ConfigurationFreshness;
   readonly #dispatch: DispatchRole;
   readonly #placementController: PlacementController;
   readonly #stops: (() => void)[] = [];
   #member: Member<ConfigurationCommand, ConfigurationReturn> | undefined;
-  #keeper: GroupReconciler<ConfigurationCommand, ConfigurationReturn> | undefined;
-  #table = ShardMap.empty();
-  #configuration: VersionedConfiguration | undefined;
+  #reconciler: GroupReconciler<ConfigurationCommand, ConfigurationReturn> | undefined;
 
   constructor(options: ControllerOptions) {
     const { membership, clock, transport, bounds } = options;
+    const { failureTimeoutMs } = bounds;
+    const ground = { ...options, failureTimeoutMs, machine: this.#machine };
+    const leader = {
+      confirmed: () => this.#confirmed(),
+      propose: (id: string, command: ConfigurationCommand) => this.#propose(id, command),
+    };
     this.#options = options;
     this.#host = new ShardHost({ ...options, name: membership.name, address: transport.here });
-    this.finder = new LeaderFinder({ transport, clock, tryMs: bounds.failureTimeoutMs, members: (shard) => this.#members(shard) });
-    this.#fresh = new ConfigurationFreshness({
-      membership,
-      clock,
-      confirm: () => this.#confirmed(),
-      version: () => this.#machine.version,
-      freshnessMs: () => this.#machine.configuration?.bounds.freshnessMs ?? bounds.failureTimeoutMs,
-      joining: () => this.#machine.configuration?.joining === true,
-    });
-    this.#audit = new AuditService({
-      ...options,
-      failureTimeoutMs: bounds.failureTimeoutMs,
-      machine: this.#machine,
-      confirmed: () => this.#confirmed(),
-      propose: (id, command) => this.#propose(id, command),
-      peers: () => this.#members('setup').filter((address) => address !== transport.here),
-    });
-    this.services = new ServiceRegistry(options, this.#host, () => this.#configuration?.configuration);
-    this.#dispatch = new DispatchRole({
-      ...options,
-      finder: this.finder,
-      machine: this.#machine,
-      member: () => this.#member,
-      configuration: () => this.#configuration,
-      confirmed: () => this.#confirmed(),
-      propose: (id, command) => this.#propose(id, command),
-    });
-    this.#placementController = new PlacementController({
-      ...options,
-      failureTimeoutMs: bounds.failureTimeoutMs,
-      finder: this.finder,
-      machine: this.#machine,
-      member: () => this.#member,
-      copies: options.copies,
-    });
-    membership.onUpdate((update) => this.#takeUpdate(update.key, update.value));
+    this.#publisher = new ConfigurationPublisher(membership, this.#machine);
+    this.#addresses = new ShardAddresses(membership, options.seeds, () => this.#publisher.table);
+    this.finder = new LeaderFinder({ transport, clock, tryMs: failureTimeoutMs, members: (shard) => this.#addresses.of(shard) });
+    this.#freshness = this.#makeFreshness();
+    const peers = (): readonly Address[] => this.#addresses.of(configurationShardName).filter((address) => address !== transport.here);
+    this.#audit = new AuditService({ ...ground, ...leader, peers });
+    this.services = new ServiceRegistry(options, this.#host, () => this.configuration?.configuration);
+    const shard = { ...ground, finder: this.finder, member: () => this.#member };
+    this.#dispatch = new DispatchRole({ ...shard, ...leader, configuration: () => this.configuration });
+    this.#placementController = new PlacementController({ ...shard, copies: options.copies });
+    membership.onUpdate(({ key, value }) => this.#publisher.receive(key, value));
     membership.onNodeRecord((nodeRecord, begun) => {
-      if (begun) this.#keeper?.meet(nodeRecord.address);
+      if (begun) this.#reconciler?.meet(nodeRecord.address);
     });
-    const replicaHeartbeatMs = options.replicaHeartbeatMs ?? bounds.failureTimeoutMs;
     this.watch = new ReplicaRegistry({
       ...options,
-      heartbeatMs: replicaHeartbeatMs,
-      configuration: () => this.#configuration?.configuration,
-    });
-    this.#serve();
-    serveConfigurationChanges({
-      transport,
-      counters: options.counters,
-      machine: this.#machine,
-      wallMs: () => clock.wallMs(),
-      confirmed: () => this.#confirmed(),
-      propose: (id, command) => this.#propose(id, command),
-      publish: () => this.#publish(),
+      heartbeatMs: options.replicaHeartbeatMs ?? failureTimeoutMs,
+      configuration: () => this.configuration?.configuration,
     });
+    this.#serve(leader);
   }
 
-  /** Founds or joins the setup shard; resolves once this machine is a member or waits to be one. */
+  /** Bootstraps or joins the configuration shard; resolves once this machine is a member or waits to be one. */
   async start(): Promise<void> {
-    const { membership, clock, transport, bounds, counters, log, heartbeatMs } = this.#options;
-    await this.watch.open().catch(() => counters.add('replica.livesNotKept'));
-    const shard = 'setup';
+    const { membership, clock, bounds, counters, heartbeatMs } = this.#options;
+    await this.watch.open().catch(() => counters.add('replica.instancesNotStored'));
+    const shard = configurationShardName;
     const known = await this.#host.known(shard);
     // The seeds may all have been replaced since this machine last ran.
     membership.meet(known.map((member) => member.identity.address));
     const { bootstrap, over } = await firstStart(this.#options.disk, this.#options.bootstrap);
     const members = await bootstrapGroup({ ...this.#options, shard, host: this.#host, waitMs: bounds.failureTimeoutMs, known, bootstrap });
     const member = await this.#host.host<ConfigurationCommand, ConfigurationReturn>(shard, members, this.#machine, {
-      leadershipChanged: (term) => {
-        this.#fresh.own(term);
-        if (term !== undefined) this.#dispatch.lead();
-        this.#publish();
-        this.#nudge();
-      },
-      applied: () => {
-        this.#publish();
-        this.#nudge();
-      },
-      noticed: () => this.#keeper?.stepSoon(),
+      leadershipChanged: (term) => this.#leadershipChanged(term),
+      applied: () => this.#stateChanged(),
+      noticed: () => this.#reconciler?.stepSoon(),
     });
     this.#member = member;
     await over();
-    const wanted = (): ReturnType<ConfigurationShard['table']>['shards'][string]['wanted'] | undefined =>
-      this.#machine.wanted().get('setup');
-    const changed = (): void => announceGroup(membership, member);
-    this.#keeper = new GroupReconciler({
-      member,
-      transport,
-      clock,
-      counters,
-      log,
-      failureTimeoutMs: bounds.failureTimeoutMs,
-      wanted,
-      changed,
-    });
-    this.#stops.push(every(clock, heartbeatMs, () => this.#fresh.heartbeat().catch(() => counters.add('controller.unconfirmed'))));
-    this.#stops.push(every(clock, bounds.failureTimeoutMs / 2, () => this.#found()));
+    this.#reconciler = this.#makeReconciler(member);
+    this.#stops.push(every(clock, heartbeatMs, () => this.#freshness.heartbeat().catch(() => counters.add('controller.unconfirmed'))));
+    this.#stops.push(every(clock, bounds.failureTimeoutMs / 2, () => this.#maintain()));
   }
 
+  /** Who holds the dispatcher's role, as far as this machine knows. */
   singletonRole(): SingletonRole | undefined {
     return this.#dispatch.held();
   }
 
-  /** The setup in force as this machine knows it. */
+  /** The configuration in force, as far as this machine knows. */
   get configuration(): VersionedConfiguration | undefined {
-    return this.#configuration;
+    return this.#publisher.configuration;
   }
 
+  /** The members of every shard, as far as this machine knows. */
   get table(): ShardMap {
-    return this.#table;
+    return this.#publisher.table;
   }
 
-  /** The setup shard's member here, for status. */
+  /** This machine's member of the configuration shard; undefined before it has joined. */
   get member(): Member<ConfigurationCommand, ConfigurationReturn> | undefined {
     return this.#member;
   }
 
+  /** The dispatcher, while this machine holds its role. */
   get dispatcher(): Dispatcher | undefined {
     return this.#dispatch.dispatcher;
   }
 
-  /** Ends politely: the dispatcher's role goes to the next one first, for its release is written in the setup shard; then the shards. */
+  /**
+   * Leaves the fleet: releases the dispatcher's role first, since that is written in the configuration shard, then the shards.
+   * Resolves after two failure timeouts at the latest.
+   */
   async leave(): Promise<void> {
     const { membership, clock, bounds } = this.#options;
-    const patienceMs = bounds.failureTimeoutMs * 2;
-    const handing = async (): Promise<void> => {
+    const maxLeaveMs = bounds.failureTimeoutMs * 2;
+    const release = async (): Promise<void> => {
       await this.#dispatch.resign();
-      await Promise.all([this.#member?.leave(patienceMs), this.services.leave(patienceMs)]);
+      await Promise.all([this.#member?.leave(maxLeaveMs), this.services.leave(maxLeaveMs)]);
     };
     membership.leave();
-    // Where nobody is left to take over, as when the whole controller ends, the grace must not run out over it.
-    await Promise.race([handing(), pause(clock, patienceMs)]);
+    // Nobody may be left to take over, as when every controller ends at once.
+    await Promise.race([release(), pause(clock, maxLeaveMs)]);
     this.close();
   }
 
   close(): void {
     for (const stop of this.#stops) stop();
-    this.#keeper?.close();
+    this.#reconciler?.close();
     this.#audit.close();
     this.#placementController.close();
     this.#dispatch.close();
@@ -196,136 +155,94 @@
     this.#host.close();
   }
 
-  #serve(): void {
-    const { transport, clock, counters } = this.#options;
-    transport.serve(agentToControllerCalls.held, async ({ front, version, clockReading }) => {
-      this.#fresh.held(front, version, clockReading);
-      return {};
+  #makeFreshness(): ConfigurationFreshness {
+    const { membership, clock, bounds } = this.#options;
+    return new ConfigurationFreshness({
+      membership,
+      clock,
+      confirm: () => this.#confirmed(),
+      version: () => this.#machine.version,
+      freshnessMs: () => this.#machine.configuration?.bounds.freshnessMs ?? bounds.failureTimeoutMs,
+      joining: () => this.#machine.configuration?.joining === true,
     });
-    transport.serve(agentToControllerCalls.fresh, async ({ front, version, clockReading }) => {
-      const response = await this.#fresh.freshnessOf(front, version, clockReading);
-      if (response === undefined) throw new TransportError('refused', 'the setup part is not owned here');
-      return response;
+  }
+
+  #makeReconciler(member: Member<ConfigurationCommand, ConfigurationReturn>) {
+    const { membership, transport, clock, counters, log, bounds } = this.#options;
+    return new GroupReconciler({
+      member,
+      transport,
+      clock,
+      counters,
+      log,
+      failureTimeoutMs: bounds.failureTimeoutMs,
+      wanted: () => this.#machine.wanted().get(configurationShardName),
+      changed: () => announceGroup(membership, member),
     });
-    transport.serve(controllerCalls.plan, ({ id, proposal }) =>
-      replyAsLeader(async () => {
-        await this.#confirmed();
-        const { version, configuration } = this.#machine;
-        const known = this.#machine.plan(id);
-        if (known !== undefined) return { plan: known, findings: [] };
-        const waiting = await this.#waiting();
-        const made = makePlan(proposal, { id, version, configuration, waiting, atMs: clock.wallMs() });
-        if (!made.ok) return { findings: [...made.findings] };
-        await this.#propose(`plan/${id}`, { kind: 'plan', plan: made.value });
-        counters.add('controller.plans');
-        return { plan: made.value, findings: [] };
-      }),
-    );
-    transport.serve(controllerCalls.readPlan, ({ plan }) =>
-      replyAsLeader(async () => {
-        await this.#confirmed();
-        return this.#machine.plan(plan);
-      }),
-    );
-    transport.serve(controllerCalls.confirm, ({ plan, acknowledged, atMs }) =>
-      replyAsLeader(async () => {
-        const { outcome } = await this.#propose(`confirm/${plan}/${acknowledged}/${atMs}`, { kind: 'confirm', plan, acknowledged, atMs });
-        if (outcome === undefined) throw new TransportError('refused', 'no outcome');
-        return { outcome, inForce: outcome.outcome === 'confirmed' && this.#fresh.inForce(outcome.version) };
-      }),
-    );
-    transport.serve(controllerCalls.configuration, () =>
-      replyAsLeader(async () => {
-        await this.#confirmed();
-        const { version, configuration, history, singletonRoles } = this.#machine;
-        return { version, configuration, history: [...history], singletonRoles: { ...singletonRoles } };
-      }),
-    );
-    transport.serve(controllerCalls.fronts, () =>
-      replyAsLeader(async () => {
-        await this.#confirmed();
-        return [...this.#fresh.fronts()];
-      }),
-    );
+  }
+
+  #serve(leader: Pick<Parameters<typeof serveConfiguration>[0], 'confirmed' | 'propose'>): void {
+    const { transport, clock, counters } = this.#options;
+    const ground = { transport, counters, machine: this.#machine, wallMs: () => clock.wallMs(), ...leader };
+    serveConfiguration({ ...ground, freshness: this.#freshness, waiting: () => this.#waiting() });
+    serveConfigurationChanges({ ...ground, publish: () => this.#publish() });
   }
 
   async #confirmed(): Promise<void> {
-    if (this.#member === undefined) throw new TransportError('refused', 'not yet a member of the setup part');
-    await this.#member.confirmLeadership();
+    await this.#joined().confirmLeadership();
   }
 
   #propose(id: string, command: ConfigurationCommand): Promise<ConfigurationReturn> {
-    if (this.#member === undefined) throw new TransportError('refused', 'not yet a member of the setup part');
-    return this.#member.propose(id, command);
+    return this.#joined().propose(id, command);
   }
 
-  #members(shard: string): readonly Address[] {
-    const { membership, seeds } = this.#options;
-    const told = membership.stateTable.get(ShardMap.groupKey(shard))?.value;
-    const live = new Set<Address>(membership.live().map((nodeRecord) => nodeRecord.address));
-    // Who is gone is asked last: each try there costs a silence.
-    const liveFirst = (all: readonly Address[]): readonly Address[] => [
-      ...all.filter((address) => live.has(address)),
-      ...all.filter((address) => !live.has(address)),
-    ];
-    if (shard !== 'setup') return liveFirst(ShardMap.members(this.#table, shard, told));
-    const members = ShardMap.readGroup(told).map((member) => member.identity.address);
-    const controllers = membership.live().flatMap((nodeRecord) => (nodeRecord.role === 'controller' ? [nodeRecord.address] : []));
-    return liveFirst([...new Set([...members, ...controllers, ...seeds])]);
+  #joined(): Member<ConfigurationCommand, ConfigurationReturn> {
+    if (this.#member === undefined) throw new TransportError('refused', 'not yet a member of the configuration shard');
+    return this.#member;
   }
 
-  /** After what this machine holds has changed, if it leads the setup shard. */
-  #nudge(): void {
-    this.#placementController.nudge();
-    this.#keeper?.stepSoon();
+  #leadershipChanged(term: number | undefined): void {
+    this.#freshness.own(term);
+    if (term !== undefined) this.#dispatch.lead();
+    this.#stateChanged();
   }
 
-  #takeUpdate(key: string, value: unknown): void {
-    if (key === ShardMap.key) {
-      const table = ShardMap.read(value);
-      if (table !== undefined && table.version > this.#table.version) this.#table = table;
-    }
-    if (key !== updateKeys.configuration) return;
-    const read = v.safeParse(VersionedConfiguration, value);
-    if (read.success && read.output.version > (this.#configuration?.version ?? 0)) this.#configuration = read.output;
+  #stateChanged(): void {
+    this.#publish();
+    this.#nudge();
+  }
+
+  /** Has placement and reconciliation look at the changed state; they act only on the leader. */
+  #nudge(): void {
+    this.#placementController.nudge();
+    this.#reconciler?.stepSoon();
   }
 
-  /** The leader tells all what was committed. The board takes only what is newer. */
   #publish(): void {
-    const { membership } = this.#options;
-    if (this.#member?.isLeader !== true) return;
-    const { version, configuration, singletonRoles } = this.#machine;
-    if (configuration !== undefined && (this.#configuration?.version ?? 0) < version)
-      membership.putChanged({
-        key: updateKeys.configuration,
-        version: [version, 0],
-        volatile: false,
-        value: { version, configuration: withoutSourceDocuments(configuration) },
-      });
-    const table = this.#machine.table();
-    if (table.version > this.#table.version)
-      membership.putChanged({ key: ShardMap.key, version: [table.version, 0], volatile: false, value: table });
-    for (const [singletonRole, held] of Object.entries(singletonRoles)) {
-      if (membership.stateTable.get(updateKeys.singletonRole(singletonRole))?.version[0] !== held.term)
-        membership.put({ key: updateKeys.singletonRole(singletonRole), version: [held.term, 0], volatile: false, value: held });
-    }
+    if (this.#member?.isLeader === true) this.#publisher.publish();
   }
 
-  /** The leader founds each shard that the setup wants, once all that shall sit in it have said who they are. */
-  async #found(): Promise<void> {
-    const { transport, bounds, membership, counters } = this.#options;
+  /** On the leader: publishes and signs what is pending, and bootstraps shards that the configuration wants. */
+  async #maintain(): Promise<void> {
     const member = this.#member;
     if (member?.isLeader !== true) return;
-    announceGroup(membership, member);
+    announceGroup(this.#options.membership, member);
     this.#publish();
     await this.#audit.sign();
     this.#placementController.nudge();
+    await this.#bootstrapShards();
+  }
+
+  /** Bootstraps each shard once all machines that shall be its members have said who they are. */
+  async #bootstrapShards(): Promise<void> {
+    const { transport, bounds, counters } = this.#options;
     const wanted = this.#machine.wanted();
     for (const shard of this.#machine.notBootstrapped()) {
-      const addresses = (wanted.get(shard) ?? []).map((place) => place.address);
+      const addresses = (wanted.get(shard) ?? []).map(({ address }) => address);
       const members = await initialGroup(transport, shard, addresses, bounds.failureTimeoutMs);
       if (members === undefined) continue;
-      await this.#propose(`found/${shard}`, { kind: 'bootstrap', shard, members }).catch(() => counters.add('controller.notFounded'));
+      const command = { kind: 'bootstrap' as const, shard, members };
+      await this.#propose(`found/${shard}`, command).catch(() => counters.add('controller.bootstrapFailed'));
     }
   }
 
--- a/programs/controller/src/main.ts
+++ b/programs/controller/src/main.ts
@@ -10,7 +10,7 @@
   Usage
     $ controller --boot FILE [--name N --zone Z --listen IP:PORT --http IP:PORT --seeds IP:PORT,... --data-folder DIR]
 
-  A controller machine: keeps the setup and the service parts, and does the dispatcher's duty in its turn.
+  A controller machine: a member of the configuration shard and the service shards, and a candidate for the dispatcher's role.
   --seeds are the controller machines themselves. Flags win over the boot file.
 `,
   { importMeta: import.meta, flags: runProgram.flags },
--- a/programs/controller/src/operator-api/fleetViews.ts
+++ b/programs/controller/src/operator-api/fleetViews.ts
@@ -5,6 +5,7 @@
 import type { BatchView } from '@pewterlanding/store';
 import { storeCalls } from '@pewterlanding/store';
 import { controllerCalls } from '../controllerCalls.js';
+import { configurationShardName } from '../configuration/configurationShardName.js';
 import type { OperatorHttpOptions } from './operatorHttpOptions.js';
 
 interface NodeView extends NodeRecord {
@@ -41,13 +42,13 @@
   /** Every machine that membership knows; versions are left out while the configuration shard has no leader. */
   async nodes(): Promise<readonly NodeView[]> {
     const { controller, membership, waitMs } = this.#options;
-    const fronts = await controller.finder.ask('setup', controllerCalls.fronts, {}, waitMs).catch(() => []);
+    const fronts = await controller.finder.ask(configurationShardName, controllerCalls.fronts, {}, waitMs).catch(() => []);
     const versions = new Map(fronts.map(({ front, version }) => [front, version]));
     return membership.nodeRecords().map((nodeRecord) => ({ ...nodeRecord, version: versions.get(nodeRecord.name) }));
   }
 
   async shards(): Promise<readonly ShardState[]> {
-    const shards = ['setup', ...Object.keys(this.#options.controller.table.shards).sort()];
+    const shards = [configurationShardName, ...Object.keys(this.#options.controller.table.shards).sort()];
     return Promise.all(shards.map((shard) => this.#shard(shard)));
   }
 
@@ -76,7 +77,7 @@
     const { controller, waitMs } = this.#options;
     try {
       // Any call that only the leader answers would do; this one has a small answer, where the configuration may be large.
-      await controller.finder.ask('setup', controllerCalls.fronts, {}, waitMs * readyRatio);
+      await controller.finder.ask(configurationShardName, controllerCalls.fronts, {}, waitMs * readyRatio);
       return true;
     } catch {
       return false;
--- a/programs/controller/src/operator-api/operatorApi.ts
+++ b/programs/controller/src/operator-api/operatorApi.ts
@@ -7,6 +7,7 @@
 import type { ChangeOutcome } from '../configuration/changeOutcome.js';
 import type { Confirmation } from '../audit/confirmation.js';
 import { controllerCalls } from '../controllerCalls.js';
+import { configurationShardName } from '../configuration/configurationShardName.js';
 import type { Plan } from '../configuration/plan.js';
 import type { PlanOutcome } from '../configuration/planOutcome.js';
 import type { Proposal } from '../configuration/proposal.js';
@@ -39,41 +40,41 @@
   }
 
   plan(id: PlanId, proposal: Proposal): Promise<{ plan?: Plan | undefined; findings: Finding[] }> {
-    return this.#options.finder.ask('setup', controllerCalls.plan, { id, proposal }, this.#options.waitMs);
+    return this.#options.finder.ask(configurationShardName, controllerCalls.plan, { id, proposal }, this.#options.waitMs);
   }
 
   readPlan(plan: PlanId): Promise<Plan | undefined> {
-    return this.#options.finder.ask('setup', controllerCalls.readPlan, { plan }, this.#options.waitMs);
+    return this.#options.finder.ask(configurationShardName, controllerCalls.readPlan, { plan }, this.#options.waitMs);
   }
 
   configuration(waitMs = this.#options.waitMs) {
-    return this.#options.finder.ask('setup', controllerCalls.configuration, {}, waitMs);
+    return this.#options.finder.ask(configurationShardName, controllerCalls.configuration, {}, waitMs);
   }
 
   /** The newest confirmations, oldest first. */
   history(): Promise<Confirmation[]> {
-    return this.#options.finder.ask('setup', controllerCalls.history, {}, this.#options.waitMs);
+    return this.#options.finder.ask(configurationShardName, controllerCalls.history, {}, this.#options.waitMs);
   }
 
   audit(): Promise<AuditTrail> {
-    return this.#options.finder.ask('setup', controllerCalls.audit, {}, this.#options.waitMs);
+    return this.#options.finder.ask(configurationShardName, controllerCalls.audit, {}, this.#options.waitMs);
   }
 
   /** Puts a change in force in one call. May be sent again unchanged, at any controller. No front is waited for. */
   set(change: ConfigurationChange, waitMs = this.#options.waitMs): Promise<ChangeOutcome> {
     // A large change that is tried again too early would only be worked on twice.
     const extraTryMs = itemsOf(change) * msPerItem;
-    return this.#options.finder.ask('setup', controllerCalls.set, { change }, waitMs, extraTryMs);
+    return this.#options.finder.ask(configurationShardName, controllerCalls.set, { change }, waitMs, extraTryMs);
   }
 
   /** Starts emptying a store that joined by announcing itself, so that it can be retired. */
   empty(name: NodeName): Promise<'started' | 'unknown' | 'too few'> {
-    return this.#options.finder.ask('setup', placementCalls.empty, { name }, this.#options.waitMs);
+    return this.#options.finder.ask(configurationShardName, placementCalls.empty, { name }, this.#options.waitMs);
   }
 
   /** How far that has come; `settled` once the store may be retired with its disk. */
   emptied(name: NodeName): Promise<'running' | 'settled' | 'unknown'> {
-    return this.#options.finder.ask('setup', placementCalls.emptied, { name }, this.#options.waitMs);
+    return this.#options.finder.ask(configurationShardName, placementCalls.emptied, { name }, this.#options.waitMs);
   }
 
   /** Confirms, and returns a confirmation only once it is in force everywhere, or when `waitMs` has passed. */
@@ -83,7 +84,7 @@
     const untilMs = clock.nowMs() + waitMs;
     for (;;) {
       const leftMs = Math.max(1, untilMs - clock.nowMs());
-      const response = await finder.ask('setup', controllerCalls.confirm, { plan, acknowledged, atMs }, leftMs);
+      const response = await finder.ask(configurationShardName, controllerCalls.confirm, { plan, acknowledged, atMs }, leftMs);
       if (response.outcome.outcome !== 'confirmed' || response.inForce || clock.nowMs() >= untilMs) return response;
       await pause(clock, waitMs / pollsPerWait);
     }
--- a/programs/controller/src/replicas/controllerContacts.ts
+++ b/programs/controller/src/replicas/controllerContacts.ts
@@ -5,25 +5,25 @@
 interface ControllerContactsOptions {
   readonly membership: Membership;
   readonly clock: Clock;
-  /** A contact that was not renewed for so long is lost. */
+  /** A contact that was not renewed for so long is lost, in milliseconds. */
   readonly lastingMs: number;
-  /** Who spoke within this time is named as heard. */
+  /** Controllers whose message arrived within this time are reported as heard, in milliseconds. */
   readonly speakingMs: number;
 }
 
-/** Which other controllers this one hears, and which of them say that they hear it: both ways are needed to be in contact. */
+/** Which other controllers' messages arrive here, and which of them report that they receive ours: contact needs both ways. */
 export class ControllerContacts {
   readonly #options: ControllerContactsOptions;
   readonly #spokeMs = new Map<NodeName, number>();
   readonly #answeredMs = new Map<NodeName, number>();
-  /** Whether most were in contact since the last time that silence said nothing. */
+  /** Whether a majority was in contact since `forget`; before that, silence proves nothing. */
   #established = false;
 
   constructor(options: ControllerContactsOptions) {
     this.#options = options;
   }
 
-  /** A controller spoke, and named those that it hears. */
+  /** A controller's message arrived; it names the controllers that it hears. */
   heard(from: NodeName, hears: readonly NodeName[]): void {
     const nowMs = this.#options.clock.nowMs();
     this.#spokeMs.set(from, nowMs);
@@ -31,39 +31,39 @@
     else this.#answeredMs.delete(from);
   }
 
-  /** The controllers that spoke lately. */
+  /** The controllers whose messages arrived lately. */
   speaking(): NodeName[] {
     const sinceMs = this.#options.clock.nowMs() - this.#options.speakingMs;
     return [...this.#spokeMs].flatMap(([name, spokeMs]) => (spokeMs >= sinceMs ? [name] : []));
   }
 
-  /** What a controller says holds all that it heard until then: those that spoke since a time did not hear what they did not name. */
+  /** Whether a majority of controllers, this one among them, has sent a message since; a message names all that its sender heard. */
   maxSpokeSince(sinceMs: number): boolean {
-    return this.#limit((name) => (this.#spokeMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
+    return this.#isMajority((name) => (this.#spokeMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
   }
 
-  /** True while most controllers, which heard this one before, do not say so any more. */
+  /** True while a majority that heard this controller before does not report it any more. */
   get lost(): boolean {
-    return this.#established && !this.#maxAnswered();
+    return this.#established && !this.#majorityAnswered();
   }
 
-  /** Notes whether most are in contact now. */
+  /** Records contact with a majority. */
   look(): void {
-    if (this.#maxAnswered()) this.#established = true;
+    if (this.#majorityAnswered()) this.#established = true;
   }
 
-  /** From now on silence says nothing until most are in contact again. */
+  /** From now on silence proves nothing until a majority is in contact again. */
   forget(): void {
     this.#established = false;
   }
 
-  #maxAnswered(): boolean {
+  #majorityAnswered(): boolean {
     const sinceMs = this.#options.clock.nowMs() - this.#options.lastingMs;
-    return this.#limit((name) => (this.#answeredMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
+    return this.#isMajority((name) => (this.#answeredMs.get(name) ?? Number.NEGATIVE_INFINITY) >= sinceMs);
   }
 
-  /** Whether more than half of the controllers, this one among them, fulfil a condition. */
-  #limit(fulfils: (name: NodeName) => boolean): boolean {
+  /** Whether more than half of the controllers that have not left, this one among them, fulfil a condition. */
+  #isMajority(fulfils: (name: NodeName) => boolean): boolean {
     const { membership } = this.#options;
     const others = membership
       .nodeRecords()
--- a/programs/controller/src/startController.ts
+++ b/programs/controller/src/startController.ts
@@ -10,11 +10,14 @@
 import { Controller } from './controller.js';
 import type { ControllerOptions } from './controllerOptions.js';
 
+/** How long the process stays reachable after it has left, for answers in flight. */
+const drainMs = 50;
+
 interface StartControllerOptions extends Pick<ControllerOptions, 'copies' | 'replicaHeartbeatMs'> {
   readonly bootSettings: BootSettings;
   readonly http: Address;
   readonly dataFolder: string;
-  /** What operators reach at `http`. */
+  /** Makes the HTTP interface that operators reach at `http`. */
   readonly serve: (parts: {
     readonly bootSettings: BootSettings;
     readonly controller: Controller;
@@ -26,7 +29,7 @@
   }) => FastifyInstance;
 }
 
-/** A controller machine put together and listening. */
+/** Starts a controller machine on this process's network and disk. Resolves once it listens; rejects where it cannot. */
 export async function startController({ bootSettings, http, dataFolder, serve, ...ground }: StartControllerOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
@@ -70,12 +73,12 @@
   timeline.await('configuration held', () => controller.configuration !== undefined);
   timeline.await('replicas known', () => !membership.stateTable.withPrefix(updateKeys.replicas).next().done);
   membership.onUpdate(() => timeline.look());
-  // Founding waits for the other controller machines; the process serves meanwhile.
+  // Bootstrapping waits for the other controller machines; the process serves meanwhile.
   controller.start().catch(exitOnFatalError(log));
   return {
     leave: async () => {
       await controller.leave();
-      await pause(clock, 50);
+      await pause(clock, drainMs);
       await app.close();
       transport.close();
     },
