--- a/programs/controller/src/audit/auditArchive.ts
+++ b/programs/controller/src/audit/auditArchive.ts
@@ -6,7 +6,7 @@
 import { AuditLine } from './auditLine.js';
 import { auditCalls } from './auditCalls.js';
 
-const file = 'setup.audit';
+const fileName = 'setup.audit';
 /** Lines asked of another controller at once: a few hundred kilobytes, far below what one message may hold. */
 const maxLinesPerAsk = 256;
 
@@ -40,7 +40,7 @@
 
   constructor(options: AuditArchiveOptions) {
     this.#options = options;
-    this.#journal = new Journal(options.disk, file);
+    this.#journal = new Journal(options.disk, fileName);
     this.#queue.run(() => this.#open()).catch(() => options.counters.add('controller.auditUnreadable'));
     options.transport.serve(auditCalls.auditLines, async ({ after, limit }) => ({ lines: [...(await this.#linesAfter(after, limit))] }));
     this.#stop = every(options.clock, options.failureTimeoutMs, () => this.#fill());
@@ -119,6 +119,7 @@
         const response = await transport.ask(peer, auditCalls.auditLines, body, failureTimeoutMs).catch(() => undefined);
         this.keep(response?.lines ?? []);
         await this.#queue.run(async () => undefined);
+        // This peer has nothing more; the next one may.
         if (this.#through === before) break;
         counters.add('controller.auditFilled');
       }
@@ -128,8 +129,10 @@
 }
 
 function readLines(records: readonly unknown[]): readonly AuditLine[] {
-  return records.flatMap((record) => {
+  const lines: AuditLine[] = [];
+  for (const record of records) {
     const read = v.safeParse(v.array(AuditLine), record);
-    return read.success ? read.output : [];
-  });
+    if (read.success) lines.push(...read.output);
+  }
+  return lines;
 }
--- a/programs/controller/src/audit/auditSigner.ts
+++ b/programs/controller/src/audit/auditSigner.ts
@@ -6,7 +6,7 @@
 import type { Disk } from '@pewterlanding/runtime';
 import type { AuditEntry } from './auditEntry.js';
 
-const file = 'audit.key';
+const fileName = 'audit.key';
 const algorithm = 'ES256';
 const Jwk = v.looseObject({ kty: v.string(), kid: v.string(), crv: v.string(), x: v.string(), y: v.string(), d: v.string() });
 
@@ -19,7 +19,7 @@
   }
 
   static async open(disk: Disk, name: NodeName): Promise<AuditSigner> {
-    const journal = new Journal(disk, file);
+    const journal = new Journal(disk, fileName);
     const known = v.safeParse(Jwk, (await journal.open()).records.at(-1));
     if (known.success) return new AuditSigner(known.output);
     const pair = await generateKeyPair(algorithm, { extractable: true });
--- a/programs/controller/src/audit/verifyAudit.ts
+++ b/programs/controller/src/audit/verifyAudit.ts
@@ -18,22 +18,15 @@
   trusted: readonly Record<string, unknown>[] = trail.keys,
 ): Promise<readonly Finding[]> {
   const findings: Finding[] = [];
-  const keys = new Map<string, JWK>();
-  trusted.forEach((raw, position) => {
-    const key = v.safeParse(Jwk, raw);
-    if (key.success) keys.set(key.output.kid, key.output);
-    else findings.push({ place: `keys.${position}`, message: 'is no public key' });
-  });
+  const keys = readKeys(trusted, findings);
   let previous = auditHash('');
   let version = 0;
   for (const [position, signed] of trail.entries.entries()) {
-    const at = `entries.${position}`;
+    const place = `entries.${position}`;
     const entry = await read(signed, keys);
-    if (typeof entry === 'string') findings.push({ place: at, message: entry });
+    if (typeof entry === 'string') findings.push({ place, message: entry });
     else {
-      if (entry.version !== version + 1) findings.push({ place: at, message: `is for version ${entry.version}, after ${version}` });
-      if (entry.previous !== previous)
-        findings.push({ place: at, message: 'does not name the entry before it: something was removed, added or moved' });
+      findings.push(...chainFindings(entry, { version, previous }, place));
       version = entry.version;
     }
     previous = auditHash(signed);
@@ -42,6 +35,27 @@
   return findings;
 }
 
+/** The keys by their ids; what is no key becomes a finding. */
+function readKeys(trusted: readonly Record<string, unknown>[], findings: Finding[]): ReadonlyMap<string, JWK> {
+  const keys = new Map<string, JWK>();
+  for (const [position, raw] of trusted.entries()) {
+    const key = v.safeParse(Jwk, raw);
+    if (key.success) keys.set(key.output.kid, key.output);
+    else findings.push({ place: `keys.${position}`, message: 'is no public key' });
+  }
+  return keys;
+}
+
+/** Whether an entry follows on the one before it. */
+function chainFindings(entry: AuditEntry, before: Pick<AuditEntry, 'version' | 'previous'>, place: string): readonly Finding[] {
+  const findings: Finding[] = [];
+  if (entry.version !== before.version + 1) findings.push({ place, message: `is for version ${entry.version}, after ${before.version}` });
+  if (entry.previous !== before.previous)
+    findings.push({ place, message: 'does not name the entry before it: something was removed, added or moved' });
+  return findings;
+}
+
+/** The verified entry, or what is wrong with it. */
 async function read(signed: string, keys: ReadonlyMap<string, JWK>): Promise<AuditEntry | string> {
   try {
     const verified = await compactVerify(signed, async (header) => {
--- a/programs/controller/src/operator-api/fleetViews.ts
+++ b/programs/controller/src/operator-api/fleetViews.ts
@@ -26,8 +26,10 @@
   readonly waiting: Readonly<Record<string, number>>;
 }
 
-const batchesPerShard = 100;
-/** One read asks many machines: each may take this part of the operator's wait. */
+/** Names of batch shards begin with the word of the first version, since disks hold them. */
+const batchShardPrefix = 'lots-';
+const maxBatchesPerShard = 100;
+/** One read asks many machines: each may take this fraction of the operator's wait. */
 const askRatio = 1 / 4;
 const readyRatio = 1 / 10;
 
@@ -63,10 +65,10 @@
   /** The newest batches of each shard, newest first; a shard without a leader contributes none. */
   async batches(): Promise<readonly BatchView[]> {
     const { controller } = this.#options;
-    const shards = Object.keys(controller.table.shards).filter((shard) => shard.startsWith('lots-'));
+    const shards = Object.keys(controller.table.shards).filter((shard) => shard.startsWith(batchShardPrefix));
     const batches = await Promise.all(
       shards.map((shard) =>
-        controller.finder.ask(shard, storeCalls.batches, { shard, limit: batchesPerShard }, this.#askMs).catch(() => []),
+        controller.finder.ask(shard, storeCalls.batches, { shard, limit: maxBatchesPerShard }, this.#askMs).catch(() => []),
       ),
     );
     return batches.flat().sort((a, b) => b.createdMs - a.createdMs);
--- a/programs/controller/test/configurationGrowth.test.ts
+++ b/programs/controller/test/configurationGrowth.test.ts
@@ -60,17 +60,17 @@
 
 const bytesOf = (shard: ConfigurationShard): number => new Encoder({ useRecords: false }).encode(shard.snapshot()).length;
 
-describe('the setup shard after many changes', () => {
-  it('knows each change of the day again, and its number under other content as a conflict', async () => {
+describe('the configuration shard after many changes', () => {
+  it('recognizes each change of a day, and answers its number under other content with a conflict', async () => {
     const shard = await changed(1000);
     const again = Array.from({ length: 1000 }, (_, at) => set(shard, change(at + 1)));
     expect(again.filter((outcome) => outcome !== 'taken')).toEqual([]);
     expect([1, 500, 1000].map((turn) => set(shard, change(turn, 'other content')))).toEqual(['conflict', 'conflict', 'conflict']);
     // On top of what is in force its number is not above the current one.
     expect(set(shard, { ...change(7, 'other content'), basedOn: 1000 })).toEqual('invalid');
-    // Also where a planned setup without a number came between.
+    // Also where a planned configuration without a number came between.
     const planned = v.parse(PlanId, 'planned');
-    const { revision: _mark, ...next } = shard.configuration ?? {};
+    const { revision: _revision, ...next } = shard.configuration ?? {};
     const plan = { id: planned, base: 1000, madeMs: 0, differences: [], effects: [], next };
     shard.apply(shard.read(structuredClone({ kind: 'plan', plan })));
     shard.apply(shard.read({ kind: 'confirm', plan: planned, acknowledged: true, atMs: 1 }));
@@ -80,7 +80,7 @@
     expect(shard.version).toEqual(1001);
   });
 
-  it('is as large as after a few, and what it let go of still makes a whole trail', async () => {
+  it('is as large as after a few, and the entries that it dropped still make a whole trail', async () => {
     const lines: AuditLine[] = [];
     const many = await changed(1000, lines);
     const few = await changed(10);
--- a/programs/controller/test/nextPlacement.test.ts
+++ b/programs/controller/test/nextPlacement.test.ts
@@ -30,7 +30,7 @@
 const members = (placement: Placement): readonly string[] => [...(placement.shards['lots-0'] ?? [])].sort();
 const six = ['s1a', 's2b', 's3c', 's4a', 's5b', 's6c'];
 
-describe('who sits where among machines that joined', () => {
+describe('the placement of shards on machines that joined', () => {
   it('waits for as many machines as there are copies, but not for ever', () => {
     expect(members(member(none, ['s1a', 's2b']))).toEqual([]);
     expect(members(member(none, ['s1a', 's2b'], { patient: true }))).toEqual(['s1a', 's2b']);
@@ -55,7 +55,7 @@
     expect(member(next, ['s1a', 's4a', 's7a', 's2b'])).toEqual(next);
   });
 
-  it('gives the seat of one that is gone to a newcomer, last in the order, and moves nobody else', () => {
+  it('replaces a lost machine by a new one, last in the order, and moves nothing else', () => {
     const now = member(none, ['s1a', 's2b', 's3c']);
     const before = now.shards['lots-0'] ?? [];
     const [lost = name('s1a'), ...stay] = before;
@@ -65,14 +65,14 @@
     expect(member(now, [...here, 's9a'], { gone: [lost] }).shards['lots-0']).toEqual([...stay, name('s9a')]);
   });
 
-  it('keeps the seat of an old name at a new address, and forgets what was asked of the machine before', () => {
+  it('keeps the members of an old name at a new address, and forgets that the machine before was to be emptied', () => {
     const now = { ...member(none, ['s1a', 's2b', 's3c', 's4a']), emptying: [name('s1a')] };
     const next = member(now, ['s1a@77', 's2b', 's3c', 's4a']);
     expect(next.machines[name('s1a')]?.address).toEqual(live('s1a@77')[0]?.address);
     expect(next.emptying).toEqual([]);
   });
 
-  it('empties a store only where another takes its seat, and forgets it once it is gone', () => {
+  it('empties a store only where another replaces it, and forgets it once it is gone', () => {
     const four = ['s1a', 's2b', 's3c', 's4a'];
     const now = { ...member(none, four), emptying: [name('s2b')] };
     const next = member(now, four);
--- a/programs/pewterctl/src/movesCommand.ts
+++ b/programs/pewterctl/src/movesCommand.ts
@@ -4,6 +4,9 @@
 import { readView } from './readView.js';
 import { views } from './views.js';
 
+/** Names of batch shards begin with the word of the first version, since disks hold them. */
+const batchShardPrefix = 'lots-';
+
 type Shards = v.InferOutput<typeof views.shards>['shards'];
 
 /** How far the emptying of stores has come: the batch shards that still have copies there. */
@@ -29,6 +32,6 @@
 
 /** A shard whose leader does not answer may still have a copy anywhere. */
 function mayHaveCopy({ shard, view }: Shards[number], store: string): boolean {
-  if (!shard.startsWith('lots-')) return false;
+  if (!shard.startsWith(batchShardPrefix)) return false;
   return view === undefined || view.group.some((member) => member.identity.name === store);
 }
