--- a/testing/simulator/src/model/modelMutations.ts
+++ b/testing/simulator/src/model/modelMutations.ts
@@ -42,8 +42,6 @@
   {
     ...at,
     name: 'repeatIsKnown',
-    edits: [
-      { file: 'programs/controller/dist/src/configuration/changeRegister.js', text: "if (known === 'same')", instead: 'if (false)' },
-    ],
+    edits: [{ file: 'programs/controller/dist/src/configuration/changeRegister.js', text: "if (known === 'same')", instead: 'if (false)' }],
   },
 ];
