--- a/programs/controller/src/configuration/plan.ts
+++ b/programs/controller/src/configuration/plan.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
 import { Count, PlanId, Configuration } from '@pewterlanding/model';
-import { Difference } from './difference.js';
+import { Difference } from '../audit/difference.js';
 import { Effect } from './effect.js';
 import { PlanOutcome } from './planOutcome.js';
 
-/** A proposed setup, with all that an operator should read before confirming it. */
+/** A proposed configuration, with all that an operator should read before confirming it. `base` is the version it builds on. */
 export const Plan = v.strictObject({
   id: PlanId,
   base: Count,
