--- a/programs/controller/src/dispatcher/assignItems.ts
+++ b/programs/controller/src/dispatcher/assignItems.ts
@@ -1,47 +1,45 @@
 import type { RouteName, ServiceName, Configuration } from '@pewterlanding/model';
 import type { ItemRef, OpenLease, QueuedItem } from '@pewterlanding/store';
 
-interface Placed {
+interface AssignedItems {
   readonly items: readonly QueuedItem[];
   readonly open: readonly OpenLease[];
-  /** Items whose route is gone. */
+  /** Items whose route no longer exists. */
   readonly gone: readonly ItemRef[];
 }
 
 /**
- * Opaque items by the setup in force: they belong to the branch and service that their route has now, wherever it led when they were
- * handed in. A route split over services counts at the one with the largest gain; the front splits what it runs.
+ * Assigns opaque items to the quota and the service that their route has in this configuration, whatever it had when they were
+ * submitted. An item of a route that is split over services counts for the service of the largest weight; the front splits what it
+ * runs. Items submitted under a later configuration are left out until this node has that version.
  */
 export function assignItems(
-  seen: { readonly items: readonly QueuedItem[]; readonly open: readonly OpenLease[] },
+  read: { readonly items: readonly QueuedItem[]; readonly open: readonly OpenLease[] },
   configuration: Configuration,
   version: number,
-): Placed {
+): AssignedItems {
   const gone: ItemRef[] = [];
   const items: QueuedItem[] = [];
-  for (const item of seen.items) {
-    const held = item.route;
-    if (held === undefined) {
+  for (const item of read.items) {
+    const submitted = item.route;
+    if (submitted === undefined) {
       items.push(item);
       continue;
     }
-    // What was handed in under a later setup than this one waits until this node has it.
-    if (held.version > version) continue;
-    const route = configuration.routes[held.name];
-    if (route?.kind === 'batch' && route.host === held.host)
-      items.push({ ...item, quota: route.quota ?? item.quota, service: serviceOf(configuration, held.name) ?? item.service });
+    if (submitted.version > version) continue;
+    const route = configuration.routes[submitted.name];
+    if (route?.kind === 'batch' && route.host === submitted.host)
+      items.push({ ...item, quota: route.quota ?? item.quota, service: serviceOf(configuration, submitted.name) ?? item.service });
     else gone.push(item.ref);
   }
-  const open = seen.open.map((lease) =>
-    lease.route === undefined
-      ? lease
-      : {
-          ...lease,
-          quota: configuration.routes[lease.route]?.quota ?? lease.quota,
-          service: serviceOf(configuration, lease.route) ?? lease.service,
-        },
-  );
-  return { items, open, gone };
+  return { items, open: read.open.map((lease) => assignLease(lease, configuration)), gone };
+}
+
+function assignLease(lease: OpenLease, configuration: Configuration): OpenLease {
+  if (lease.route === undefined) return lease;
+  const quota = configuration.routes[lease.route]?.quota ?? lease.quota;
+  const service = serviceOf(configuration, lease.route) ?? lease.service;
+  return { ...lease, quota, service };
 }
 
 function serviceOf(configuration: Configuration, route: RouteName): ServiceName | undefined {
--- a/programs/controller/src/dispatcher/dispatchRole.ts
+++ b/programs/controller/src/dispatcher/dispatchRole.ts
@@ -1,37 +1,38 @@
 import * as v from 'valibot';
-import { agentToControllerCalls, SingletonRole, updateKeys } from '@pewterlanding/agent';
-import type { Member, LeaderFinder } from '@pewterlanding/consensus';
-import { replyAsLeader } from '@pewterlanding/consensus';
-import type { Balances } from '@pewterlanding/rate-limit';
+import { SingletonRole, updateKeys } from '@pewterlanding/agent';
+import type { LeaderFinder } from '@pewterlanding/consensus';
 import type { VersionedConfiguration } from '@pewterlanding/model';
-import { TransportError } from '@pewterlanding/runtime';
+import type { Balances } from '@pewterlanding/rate-limit';
 import { controllerCalls } from '../controllerCalls.js';
 import type { ControllerOptions } from '../controllerOptions.js';
-import { Dispatcher } from './dispatcher.js';
+import { reachesMajority, RoleLeaseGrantor, RoleLeaseHolder, RoleOffers, serveRoleLeases } from '../roles/index.js';
+import type { ClaimRole, RoleMember, RoleState } from '../roles/index.js';
 import { BatchShardClient } from './batchShardClient.js';
-import { reachesMajority } from '../roles/reachesMajority.js';
-import { RoleLeaseGrantor } from '../roles/roleLeaseGrantor.js';
-import { RoleLeaseHolder } from '../roles/roleLeaseHolder.js';
-import { RoleOffers } from '../roles/roleOffers.js';
-import type { ConfigurationCommand } from '../configuration/configurationCommand.js';
-import type { ConfigurationShard } from '../configuration/configurationShard.js';
-import type { ConfigurationReturn } from '../configuration/configurationReturn.js';
+import { Dispatcher } from './dispatcher.js';
+import { serveQuotaCalls } from './serveQuotaCalls.js';
 
 interface DispatchRoleOptions extends Pick<ControllerOptions, 'membership' | 'clock' | 'transport' | 'bounds' | 'counters' | 'log'> {
   readonly finder: LeaderFinder;
-  readonly machine: ConfigurationShard;
-  readonly member: () => Member<ConfigurationCommand, ConfigurationReturn> | undefined;
+  /** The configuration shard's state on this node. */
+  readonly machine: RoleState;
+  /** This node's member of the configuration shard, once it has one. */
+  readonly member: () => RoleMember | undefined;
   readonly configuration: () => VersionedConfiguration | undefined;
-  /** Resolves once what this node holds of the configuration shard is surely the newest; only on its leader. */
+  /** Resolves once `machine` is surely the newest committed state; rejects on any node but the shard's leader. */
   readonly confirmed: () => Promise<void>;
-  readonly propose: (id: string, command: ConfigurationCommand) => Promise<ConfigurationReturn>;
+  readonly propose: ClaimRole;
 }
 
 const role = 'dispatch';
-/** The successor that gets the balances goes before all others for this part of a failure timeout. */
+/** Of a failure timeout: how long the successor that gets the balances precedes all other candidates. */
 const handoverRatio = 0.5;
+/** Of a failure timeout: how long the members of the configuration shard have to answer before a claim. */
+const majorityProbeRatio = 1 / 4;
 
-/** The dispatcher's role on one controller: held here under a lease, granted here where this node leads the configuration shard. */
+/**
+ * The dispatcher's singleton role on one controller: held here under a lease, granted here where this node leads the configuration
+ * shard.
+ */
 export class DispatchRole {
   readonly #options: DispatchRoleOptions;
   readonly #grantor: RoleLeaseGrantor;
@@ -39,51 +40,38 @@
   readonly #holder: RoleLeaseHolder;
   #dispatcher: Dispatcher | undefined;
 
+  /** Wires the role, serves its calls, and starts the timers of its offers and its lease. */
   constructor(options: DispatchRoleOptions) {
-    const { transport, bounds, clock, machine, member, membership } = options;
-    const { failureTimeoutMs } = bounds;
+    const { bounds, clock, transport } = options;
     this.#options = options;
-    const leaseMs = RoleLeaseHolder.leaseMs(failureTimeoutMs);
-    this.#grantor = new RoleLeaseGrantor({ clock, leaseMs, handoverMs: failureTimeoutMs * handoverRatio });
-    this.#offers = new RoleOffers({
-      ...options,
-      role,
-      grantor: this.#grantor,
-      failureTimeoutMs,
-      leading: () => member()?.isLeader === true,
-      held: () => machine.singletonRoles[role],
-      answers: (name) => this.#answers(name),
-    });
-    this.#holder = new RoleLeaseHolder({
-      ...options,
-      role,
-      failureTimeoutMs,
-      held: () => this.held(),
-      reachesMajority: () =>
-        reachesMajority({ transport, self: membership.name, group: member()?.group() ?? [], waitMs: failureTimeoutMs / 4 }),
-      begin: (term, balances) => this.#begin(term, balances),
-      end: () => this.#end(),
-      hand: (to, handed) => transport.ask(to, controllerCalls.handRole, handed, failureTimeoutMs),
-    });
-    this.#serveLease();
-    this.#serveCounter();
+    const leaseMs = RoleLeaseHolder.leaseMs(bounds.failureTimeoutMs);
+    this.#grantor = new RoleLeaseGrantor({ clock, leaseMs, handoverMs: bounds.failureTimeoutMs * handoverRatio });
+    this.#offers = this.#makeOffers();
+    this.#holder = this.#makeHolder();
+    serveRoleLeases({ ...options, role, holder: this.#holder, grantor: this.#grantor });
+    serveQuotaCalls({ transport, dispatcher: () => this.dispatcher, term: () => this.#holder.term() });
+    this.#offers.start();
+    this.#holder.start();
   }
 
-  /** The holder as news have it. */
+  /** The holder as the state table has it; the configuration shard may have a newer one. */
   held(): SingletonRole | undefined {
-    const read = v.safeParse(SingletonRole, this.#options.membership.stateTable.get(updateKeys.singletonRole(role))?.value);
+    const { stateTable } = this.#options.membership;
+    const read = v.safeParse(SingletonRole, stateTable.get(updateKeys.singletonRole(role))?.value);
     return read.success ? read.output : undefined;
   }
 
+  /** The dispatcher, while this node holds the role. */
   get dispatcher(): Dispatcher | undefined {
     return this.#holder.term() === undefined ? undefined : this.#dispatcher;
   }
 
-  /** This node begins to lead the configuration shard. */
+  /** To be called when this node becomes the leader of the configuration shard. */
   lead(): void {
     this.#grantor.lead();
   }
 
+  /** Releases the role and hands the balances over, before this node ends. */
   resign(): Promise<void> {
     return this.#holder.resign();
   }
@@ -93,82 +81,62 @@
     this.#holder.close();
   }
 
-  /** What the shard's leader knows of a controller that sits in the shard. */
-  #answers(name: string): boolean | undefined {
-    const { member, clock, bounds } = this.#options;
-    const follower = member()
-      ?.followers()
-      .find(({ groupMember }) => groupMember.identity.name === name);
-    return follower === undefined ? undefined : clock.nowMs() - follower.heardMs < bounds.failureTimeoutMs;
+  #makeOffers(): RoleOffers {
+    const { bounds, machine, member } = this.#options;
+    return new RoleOffers({
+      ...this.#options,
+      role,
+      grantor: this.#grantor,
+      failureTimeoutMs: bounds.failureTimeoutMs,
+      isLeader: () => member()?.isLeader === true,
+      committedHolder: () => machine.singletonRoles[role],
+      respondsToLeader: (name) => this.#respondsToLeader(name),
+    });
   }
 
-  #serveLease(): void {
-    const { transport, confirmed, propose, machine } = this.#options;
-    transport.serve(controllerCalls.offerRole, async (offer) => ({
-      taken: offer.role === role && (await this.#holder.offered(offer.term)),
-    }));
-    transport.serve(controllerCalls.handRole, async (handed) => ({ taken: handed.role === role && (await this.#holder.receive(handed)) }));
-    transport.serve(controllerCalls.claimRole, ({ role: claimed, claim }) =>
-      replyAsLeader(async () => {
-        await confirmed();
-        const held = machine.singletonRoles[claimed];
-        // A claim sent again must not be one lease more: its sender may never have heard of the first.
-        if (held?.holder === claim.holder && held.term === claim.term) return {};
-        if (!this.#grantor.free(claimed, held, claim.holder)) return { held };
-        const response = await propose(`duty/${claimed}/${claim.term}/${claim.holder}`, {
-          kind: 'claimRole',
-          singletonRole: claimed,
-          claim,
-        });
-        this.#grantor.renewed(claimed);
-        return { held: response.singletonRole };
-      }),
-    );
-    transport.serve(controllerCalls.renewRole, ({ role: renewed, term, release }) =>
-      replyAsLeader(async () => {
-        await confirmed();
-        const held = machine.singletonRoles[renewed]?.term === term;
-        if (held && release) this.#grantor.released(renewed);
-        else if (held) this.#grantor.renewed(renewed);
-        return { held };
-      }),
-    );
+  #makeHolder(): RoleLeaseHolder {
+    const { bounds, member, membership, transport } = this.#options;
+    const { failureTimeoutMs } = bounds;
+    const probe = { transport, self: membership.name, waitMs: failureTimeoutMs * majorityProbeRatio };
+    return new RoleLeaseHolder({
+      ...this.#options,
+      role,
+      failureTimeoutMs,
+      knownHolder: () => this.held(),
+      reachesMajority: () => reachesMajority({ ...probe, group: member()?.group() ?? [] }),
+      acquired: (term, balances) => this.#startDispatcher(term, balances),
+      lost: () => this.#endDispatcher(),
+      sendHandover: (to, handover) => transport.ask(to, controllerCalls.handRole, handover, failureTimeoutMs),
+    });
   }
 
-  #serveCounter(): void {
-    const { transport } = this.#options;
-    const holding = (): Dispatcher => {
-      const { dispatcher } = this;
-      if (dispatcher === undefined) throw new TransportError('refused', 'the counter is not here');
-      return dispatcher;
-    };
-    transport.serve(agentToControllerCalls.requestQuota, async (quotaRequest) => holding().draw(quotaRequest));
-    transport.serve(agentToControllerCalls.settle, async ({ settled }) => {
-      this.dispatcher?.settle(settled);
-      return {};
-    });
-    transport.serve(controllerCalls.quotas, async () => {
-      const dispatcher = holding();
-      return { term: this.#holder.term() ?? 0, quotas: [...dispatcher.view()], waiting: { ...dispatcher.waiting } };
-    });
+  /** Whether a follower of the configuration shard has answered this leader within the failure timeout; undefined for others. */
+  #respondsToLeader(name: string): boolean | undefined {
+    const { member, clock, bounds } = this.#options;
+    const followers = member()?.followers() ?? [];
+    const follower = followers.find(({ groupMember }) => groupMember.identity.name === name);
+    return follower === undefined ? undefined : clock.nowMs() - follower.heardMs < bounds.failureTimeoutMs;
   }
 
-  #begin(term: number, balances: Balances | undefined): void {
+  #startDispatcher(term: number, balances: Balances | undefined): void {
     const { membership, bounds, finder } = this.#options;
-    this.#dispatcher = new Dispatcher({
+    const { failureTimeoutMs } = bounds;
+    const dispatcher = new Dispatcher({
       ...this.#options,
       term,
       balances,
       current: () => this.#holder.term(),
-      batches: new BatchShardClient(finder, `${membership.name}/${term}`, bounds.failureTimeoutMs),
-      failureTimeoutMs: bounds.failureTimeoutMs,
+      batches: new BatchShardClient(finder, `${membership.name}/${term}`, failureTimeoutMs),
+      failureTimeoutMs,
     });
+    this.#dispatcher = dispatcher;
+    dispatcher.start();
   }
 
-  #end(): Balances | undefined {
-    const left = this.#dispatcher?.balances();
+  #endDispatcher(): Balances | undefined {
+    const balances = this.#dispatcher?.balances();
     this.#dispatcher?.close();
     this.#dispatcher = undefined;
-    return left;
+    return balances;
   }
 }
--- a/programs/controller/src/dispatcher/usageLearner.ts
+++ b/programs/controller/src/dispatcher/usageLearner.ts
@@ -2,31 +2,46 @@
 import type { Settlement } from '@pewterlanding/agent';
 import type { Membership } from '@pewterlanding/membership';
 
-/** What services usually put out, learned from settled leases and told when it has moved by a tenth. */
+/** The weights in the moving average of what is known and of one settlement more. */
+const historyWeight = 0.95;
+const sampleWeight = 0.05;
+/** A change by more than one such part of the published mean is published. */
+const publishedParts = 10;
+
+interface ServiceUsage {
+  /** Exponential moving average of the output tokens of a request. */
+  readonly mean: number;
+  readonly published: number;
+}
+
+/** Learns the usual output tokens of each service from settled leases, and publishes them in the state table. */
 export class UsageLearner {
   readonly #membership: Membership;
   readonly #term: number;
-  readonly #usage = new Map<string, { readonly mean: number; readonly told: number }>();
-  #told = 0;
+  readonly #usages = new Map<string, ServiceUsage>();
+  #publications = 0;
 
   constructor(membership: Membership, term: number) {
     this.#membership = membership;
     this.#term = term;
   }
 
-  learn(one: Settlement): void {
-    const known = this.#usage.get(one.service);
-    const outputTokens = known === undefined ? one.outputTokens : known.mean * 0.95 + one.outputTokens * 0.05;
-    const told = known?.told ?? 0;
-    const update = Math.abs(outputTokens - told) > told / 10;
-    this.#usage.set(one.service, { mean: outputTokens, told: update ? outputTokens : told });
-    if (!update) return;
-    this.#told += 1;
+  learn({ service, outputTokens }: Settlement): void {
+    const known = this.#usages.get(service);
+    const mean = known === undefined ? outputTokens : known.mean * historyWeight + outputTokens * sampleWeight;
+    const published = known?.published ?? 0;
+    const changed = Math.abs(mean - published) > published / publishedParts;
+    this.#usages.set(service, { mean, published: changed ? mean : published });
+    if (changed) this.#publish(service, mean);
+  }
+
+  #publish(service: Settlement['service'], mean: number): void {
+    this.#publications += 1;
     this.#membership.put({
-      key: updateKeys.usage(one.service),
-      version: [this.#term, this.#told],
+      key: updateKeys.usage(service),
+      version: [this.#term, this.#publications],
       volatile: false,
-      value: { service: one.service, outputTokens: Math.ceil(outputTokens) },
+      value: { service, outputTokens: Math.ceil(mean) },
     });
   }
 }
--- a/programs/controller/src/index.ts
+++ b/programs/controller/src/index.ts
@@ -23,7 +23,7 @@
 export * from './dispatcher/dispatcher.js';
 export * from './configuration/effect.js';
 export * from './firstStart.js';
-export * from './dispatcher/fleetView.js';
+export * from './dispatcher/replicaPools.js';
 export * from './configuration/configurationFreshness.js';
 export * from './dispatcher/batchCapacity.js';
 export * from './dispatcher/batchShardClient.js';
--- a/programs/controller/src/roles/reachesMajority.ts
+++ b/programs/controller/src/roles/reachesMajority.ts
@@ -11,26 +11,29 @@
   readonly waitMs: number;
 }
 
-/** Whether a majority of the configuration shard's voters answers this node, itself included where it is one. */
+/**
+ * Whether a majority of the configuration shard's voters answers this node within `waitMs`, itself included where it is one.
+ * Resolves with the answer that makes a majority, or with the last one.
+ */
 export async function reachesMajority({ transport, self, group, waitMs }: MajorityProbe): Promise<boolean> {
-  const voters = group.filter((one) => one.isVoter);
-  const needed = Math.floor(voters.length / 2) + 1;
+  const voters = group.filter((member) => member.isVoter);
+  const majority = Math.floor(voters.length / 2) + 1;
   return new Promise((resolve) => {
     let answered = 0;
-    let open = voters.length;
-    const close = (answers: boolean): void => {
-      open -= 1;
-      if (answers) answered += 1;
-      if (answered >= needed) resolve(true);
-      else if (open === 0) resolve(false);
+    let pending = voters.length;
+    const count = (hasAnswered: boolean): void => {
+      pending -= 1;
+      if (hasAnswered) answered += 1;
+      if (answered >= majority) resolve(true);
+      else if (pending === 0) resolve(false);
     };
     if (voters.length === 0) resolve(false);
     for (const { identity } of voters) {
-      if (identity.name === self) close(true);
+      if (identity.name === self) count(true);
       else
         transport.ask(identity.address, consensusCalls.identify, { shard: 'setup' }, waitMs).then(
-          () => close(true),
-          () => close(false),
+          () => count(true),
+          () => count(false),
         );
     }
   });
--- a/programs/controller/src/roles/roleLeaseGrantor.ts
+++ b/programs/controller/src/roles/roleLeaseGrantor.ts
@@ -6,14 +6,17 @@
   readonly clock: Clock;
   /** How long a holder acts on its last renewal, by its own clock. */
   readonly leaseMs: number;
-  /** How long the successor that a holder hands its balances to goes before all others. */
+  /** How long the successor that a holder hands its balances to precedes all other candidates. */
   readonly handoverMs: number;
 }
 
-/** Two monotonic clocks may run apart by this part of a lease before it could be granted while its holder still acts on it. */
+/** The drift allowed between the monotonic clocks of holder and grantor, as a part of a lease. */
 const driftRatio = 1 / 32;
 
-/** On the leader of the configuration shard: how long each role's lease may still be acted on, and so when it may be granted anew. */
+/**
+ * On the leader of the configuration shard: how long the holder of each role may still act on its lease, and so when the role may
+ * be granted again. Renewals are kept in memory alone: a new leader waits for a whole lease.
+ */
 export class RoleLeaseGrantor {
   readonly #options: RoleLeaseGrantorOptions;
   readonly #renewedMs = new Map<string, number>();
@@ -24,29 +27,29 @@
     this.#options = options;
   }
 
-  /** This node begins to lead: an earlier leader may have renewed any lease just before. */
+  /** To be called when this node becomes the leader: its predecessor may have renewed any lease just before. */
   lead(): void {
     this.#leadingSinceMs = this.#options.clock.nowMs();
     this.#renewedMs.clear();
     this.#releasedMs.clear();
   }
 
-  renewed(role: string): void {
+  recordRenewal(role: string): void {
     this.#renewedMs.set(role, this.#options.clock.nowMs());
     this.#releasedMs.delete(role);
   }
 
-  released(role: string): void {
+  recordRelease(role: string): void {
     this.#releasedMs.set(role, this.#options.clock.nowMs());
   }
 
-  /** Whether a claimant may have the role now. A holder that began anew under its name acts on nothing from before. */
-  free(role: string, held: SingletonRole | undefined, claimant: NodeName): boolean {
+  /** Whether a claimant may get the role now. A holder that restarted under its name does not act on its earlier lease. */
+  mayGrant(role: string, held: SingletonRole | undefined, claimant: NodeName): boolean {
     return held === undefined || held.holder === claimant || this.#releasedMs.has(role) || this.#lapsed(role);
   }
 
-  /** Whether the role is to be offered: nobody may act under it, and nobody is about to take it over politely. */
-  vacant(role: string, held: SingletonRole | undefined): boolean {
+  /** Whether the role is to be offered: nobody may act under it, and no handover to a successor is under way. */
+  isVacant(role: string, held: SingletonRole | undefined): boolean {
     if (held === undefined) return true;
     const releasedMs = this.#releasedMs.get(role);
     if (releasedMs !== undefined) return this.#options.clock.nowMs() - releasedMs > this.#options.handoverMs;
--- a/programs/controller/src/roles/roleLeaseHolder.ts
+++ b/programs/controller/src/roles/roleLeaseHolder.ts
@@ -1,13 +1,14 @@
-import type { Address } from '@pewterlanding/model';
-import type { Clock, Counters, Log } from '@pewterlanding/runtime';
-import { every } from '@pewterlanding/runtime';
-import type { LeaderFinder } from '@pewterlanding/consensus';
 import type { SingletonRole } from '@pewterlanding/agent';
-import { roleOrder } from '@pewterlanding/membership';
+import type { LeaderFinder } from '@pewterlanding/consensus';
 import type { Membership } from '@pewterlanding/membership';
+import type { Address } from '@pewterlanding/model';
 import type { Balances } from '@pewterlanding/rate-limit';
+import type { Clock, Counters, Log } from '@pewterlanding/runtime';
+import { every } from '@pewterlanding/runtime';
 import { controllerCalls } from '../controllerCalls.js';
+import { ReceivedHandover } from './receivedHandover.js';
 import type { RoleHandover } from './roleHandover.js';
+import { successorOf } from './successorOf.js';
 
 interface RoleLeaseHolderOptions {
   readonly role: string;
@@ -17,43 +18,39 @@
   readonly failureTimeoutMs: number;
   readonly counters: Counters;
   readonly log: Log;
-  /** The holder as news have it. */
-  readonly held: () => SingletonRole | undefined;
+  /** The holder as the state table has it. */
+  readonly knownHolder: () => SingletonRole | undefined;
   /** Whether a majority of the configuration shard answers this node now. */
   readonly reachesMajority: () => Promise<boolean>;
-  /** `balances` are what the holder of the epoch before handed over, if it did. */
-  readonly begin: (term: number, balances: Balances | undefined) => void;
-  /** Stops granting, and says what was left. */
-  readonly end: () => Balances | undefined;
-  readonly hand: (to: Address, handed: RoleHandover) => Promise<unknown>;
+  /** Starts the work of the role; `balances` are those of the holder of the preceding term, if they were handed over. */
+  readonly acquired: (term: number, balances: Balances | undefined) => void;
+  /** Ends the work of the role at once, and brings its last balances. */
+  readonly lost: () => Balances | undefined;
+  readonly sendHandover: (to: Address, handover: RoleHandover) => Promise<unknown>;
 }
 
-/** A lease outlasts a failover of the configuration shard: the silence that starts it, and as long again for the election. */
+/** A lease outlasts a failover of the configuration shard: the failure timeout that starts an election, and as long again for it. */
 const leaseTimeouts = 2;
 const renewalsPerTimeout = 4;
-const checksPerTimeout = 8;
+const expiryChecksPerTimeout = 8;
 
 /**
- * One node's part in a role that a single controller plays at a time. The role is claimed when the leader of the configuration
- * shard offers it, renewed with that leader, and let go by this node's own clock when no renewal came through for a lease.
+ * One node's part in a role that a single controller holds at a time. The role is claimed when the leader of the configuration shard
+ * offers it, renewed at that leader, and given up by this node's own monotonic clock when no renewal succeeded for a lease.
  */
 export class RoleLeaseHolder {
   readonly #options: RoleLeaseHolderOptions;
-  readonly #stops: readonly (() => void)[];
+  readonly #handover = new ReceivedHandover();
+  #stops: readonly (() => void)[] = [];
   #term: number | undefined;
   #renewedMs = 0;
-  #handed: RoleHandover | undefined;
-  #leaving = false;
-  /** Whether this process has claimed the role that news say it held before it began anew. */
-  #resumed = false;
-  #working: Promise<void> | undefined;
+  #resigning = false;
+  /** Whether this process has claimed anew the role that its predecessor of the same name held. */
+  #reclaimed = false;
+  #running: Promise<void> | undefined;
 
   constructor(options: RoleLeaseHolderOptions) {
     this.#options = options;
-    this.#stops = [
-      every(options.clock, options.failureTimeoutMs / renewalsPerTimeout, () => this.#alone(() => this.#tend())),
-      every(options.clock, options.failureTimeoutMs / checksPerTimeout, () => this.#check()),
-    ];
   }
 
   /** How long a holder acts on its last renewal. */
@@ -61,139 +58,143 @@
     return failureTimeoutMs * leaseTimeouts;
   }
 
-  /** The epoch under which this node may act now; asked before every act, for a frozen node must not act on what it was. */
+  /** Starts renewing, and checking for expiry. */
+  start(): void {
+    const { clock, failureTimeoutMs } = this.#options;
+    this.#stops = [
+      every(clock, failureTimeoutMs / renewalsPerTimeout, () => this.#exclusively(() => this.#renewOrReclaim())),
+      every(clock, failureTimeoutMs / expiryChecksPerTimeout, () => this.#endIfExpired()),
+    ];
+  }
+
+  /** The term under which this node may act now. To be asked before each step: the lease of a process that was paused has expired. */
   term(): number | undefined {
-    this.#check();
+    this.#endIfExpired();
     return this.#term;
   }
 
-  /** The leader of the configuration shard offers the role under an epoch. True once this node holds it. */
-  async offered(term: number): Promise<boolean> {
-    await this.#working;
-    await this.#alone(async () => {
-      if (this.#term !== undefined || this.#leaving) return;
+  /** Claims the role that the leader of the configuration shard offers under a term. True once this node holds it. */
+  async acceptOffer(term: number): Promise<boolean> {
+    await this.#running;
+    await this.#exclusively(async () => {
+      if (this.#term !== undefined || this.#resigning) return;
       if (await this.#options.reachesMajority()) await this.#claim(term);
       else this.#options.counters.add('controller.offerDeclined');
     });
     return this.#term === term;
   }
 
-  /** Before this node ends: the role goes to the next one, with what is left. */
+  /** Before this node ends: releases the role, and hands the balances to the successor. */
   async resign(): Promise<void> {
-    this.#leaving = true;
-    await this.#working;
-    await this.#giveUp();
+    this.#resigning = true;
+    await this.#running;
+    await this.#release();
   }
 
-  /** Takes what the holder before left, and the role at once. Too old, sent twice, or sent to who holds it: refused and counted. */
-  async receive(handed: RoleHandover): Promise<boolean> {
-    const known = this.#options.held()?.term ?? 0;
-    if (this.#term !== undefined || this.#leaving || handed.term < known || this.#handed?.term === handed.term) {
+  /** Takes the balances of the last holder and claims the role under the next term. False if the handover is too old or a repeat. */
+  async acceptHandover(handover: RoleHandover): Promise<boolean> {
+    const knownTerm = this.#options.knownHolder()?.term ?? 0;
+    if (this.#term !== undefined || this.#resigning || !this.#handover.accept(handover, knownTerm)) {
       this.#options.counters.add('controller.handoverRefused');
       return false;
     }
-    this.#handed = handed;
-    await this.#working;
-    await this.#alone(async () => {
-      if (this.#term === undefined) await this.#claim(handed.term + 1);
+    const nextTerm = handover.term + 1;
+    await this.#running;
+    await this.#exclusively(async () => {
+      if (this.#term === undefined) await this.#claim(nextTerm);
     });
-    return this.#term === handed.term + 1;
+    return this.#term === nextTerm;
   }
 
   close(): void {
     for (const stop of this.#stops) stop();
-    this.#stand();
+    this.#end();
   }
 
-  /** One at a time: a claim that is under way must not be made twice. */
-  #alone(work: () => Promise<void>): Promise<void> {
-    this.#working ??= work().finally(() => {
-      this.#working = undefined;
+  /** Runs one step at a time, so that no claim is made twice; a step that comes meanwhile is dropped and waits for the one running. */
+  #exclusively(step: () => Promise<void>): Promise<void> {
+    this.#running ??= step().finally(() => {
+      this.#running = undefined;
     });
-    return this.#working;
+    return this.#running;
   }
 
-  async #tend(): Promise<void> {
+  async #renewOrReclaim(): Promise<void> {
     if (this.#term !== undefined) return this.#renew(this.#term);
-    const { held, membership } = this.#options;
-    const known = held();
-    // A process that began anew need not wait for the lease of its earlier life to lapse. Only once: each claim is a lease more.
-    if (this.#resumed || this.#leaving || known?.holder !== membership.name) return;
-    this.#resumed = true;
+    const { knownHolder, membership } = this.#options;
+    const known = knownHolder();
+    // A restarted process need not wait for its own earlier lease to expire. Only once, since each claim extends the lease.
+    if (this.#reclaimed || this.#resigning || known?.holder !== membership.name) return;
+    this.#reclaimed = true;
     await this.#claim(known.term + 1);
   }
 
   async #claim(term: number): Promise<void> {
-    const { finder, clock, role, failureTimeoutMs, counters, log, membership } = this.#options;
+    const { finder, clock, role, failureTimeoutMs, membership } = this.#options;
+    // The lease counts from before the claim was sent, so that it ends no later here than at the grantor.
     const startMs = clock.nowMs();
     const address = membership.nodeRecord(membership.name)?.address;
     if (address === undefined) return;
     const claim = { holder: membership.name, address, term };
     const response = await finder.ask('setup', controllerCalls.claimRole, { role, claim }, failureTimeoutMs).catch(() => undefined);
     if (response?.held === undefined || response.held.holder !== membership.name || response.held.term !== term) return;
-    this.#resumed = true;
+    this.#begin(term, startMs);
+  }
+
+  #begin(term: number, renewedMs: number): void {
+    const { counters, log, role, acquired } = this.#options;
+    this.#reclaimed = true;
     this.#term = term;
-    this.#renewedMs = startMs;
+    this.#renewedMs = renewedMs;
     counters.add('controller.rolesTaken');
     log.info(`takes the role ${role} under epoch ${term}`);
-    this.#options.begin(term, this.#balancesFor(term));
-  }
-
-  /** Only the word of the very epoch before can be proved current: nobody granted anything in between. */
-  #balancesFor(term: number): Balances | undefined {
-    const handed = this.#handed;
-    this.#handed = undefined;
-    if (handed === undefined) return undefined;
-    if (handed.term === term - 1) return handed.balances;
-    this.#options.counters.add('controller.handoverRefused');
-    return undefined;
+    const { balances, refused } = this.#handover.take(term);
+    if (refused) counters.add('controller.handoverRefused');
+    acquired(term, balances);
   }
 
   async #renew(term: number): Promise<void> {
-    const { finder, clock, role, failureTimeoutMs } = this.#options;
-    const startMs = clock.nowMs();
-    const response = await finder
-      .ask('setup', controllerCalls.renewRole, { role, term, release: false }, failureTimeoutMs)
-      .catch(() => undefined);
-    if (response?.held === true) this.#renewedMs = startMs;
-    else if (response !== undefined) this.#stand();
+    const startMs = this.#options.clock.nowMs();
+    const renewed = await this.#askGrantor(term, false);
+    if (renewed === true) this.#renewedMs = startMs;
+    else if (renewed === false) this.#end();
   }
 
-  /** Stops granting, has the release written down as this epoch's, and only then sends what is left to the next one. */
-  async #giveUp(): Promise<void> {
-    const { finder, role, failureTimeoutMs, counters, membership, hand } = this.#options;
+  /** Ends the work, has the release recorded by the grantor, and only then sends the balances: nothing is granted after them. */
+  async #release(): Promise<void> {
+    const { role, counters, membership, sendHandover } = this.#options;
     const term = this.#term;
-    const balances = this.#stand();
+    const balances = this.#end();
     if (term === undefined) return;
-    const response = await finder
-      .ask('setup', controllerCalls.renewRole, { role, term, release: true }, failureTimeoutMs)
-      .catch(() => undefined);
-    if (response?.held !== true || balances === undefined) return;
-    const controllers = membership.live().filter((nodeRecord) => nodeRecord.role === 'controller' && nodeRecord.name !== membership.name);
-    const [next] = roleOrder(
-      role,
-      controllers.map((nodeRecord) => nodeRecord.name),
-    );
-    const to = controllers.find((nodeRecord) => nodeRecord.name === next);
-    if (to === undefined) return;
-    await hand(to.address, { role, term, balances }).then(
+    const released = await this.#askGrantor(term, true);
+    if (released !== true || balances === undefined) return;
+    const successor = successorOf(role, membership);
+    if (successor === undefined) return;
+    await sendHandover(successor.address, { role, term, balances }).then(
       () => counters.add('controller.handedOver'),
       () => counters.add('controller.handoverLost'),
     );
   }
 
-  #check(): void {
+  /** Whether the grantor still knows this node's term as the last one granted; undefined without an answer. */
+  async #askGrantor(term: number, release: boolean): Promise<boolean | undefined> {
+    const { finder, role, failureTimeoutMs } = this.#options;
+    const response = await finder.ask('setup', controllerCalls.renewRole, { role, term, release }, failureTimeoutMs).catch(() => undefined);
+    return response?.held;
+  }
+
+  /** A lease that expired, or a later term that became known, ends the work: its state in memory is no longer the fleet's. */
+  #endIfExpired(): void {
     if (this.#term === undefined) return;
-    const { clock, failureTimeoutMs, held } = this.#options;
-    const lapsed = clock.nowMs() - this.#renewedMs > RoleLeaseHolder.leaseMs(failureTimeoutMs);
-    // Lapsed or overtaken: what this node holds in memory is no longer the fleet's counter.
-    if (lapsed || (held()?.term ?? 0) > this.#term) this.#stand();
+    const { clock, failureTimeoutMs, knownHolder } = this.#options;
+    const expired = clock.nowMs() - this.#renewedMs > RoleLeaseHolder.leaseMs(failureTimeoutMs);
+    if (expired || (knownHolder()?.term ?? 0) > this.#term) this.#end();
   }
 
-  #stand(): Balances | undefined {
+  #end(): Balances | undefined {
     if (this.#term === undefined) return undefined;
     this.#options.log.info(`lets go of the role ${this.#options.role}`);
     this.#term = undefined;
-    return this.#options.end();
+    return this.#options.lost();
   }
 }
--- a/programs/controller/src/roles/roleOffers.ts
+++ b/programs/controller/src/roles/roleOffers.ts
@@ -16,74 +16,78 @@
   readonly grantor: RoleLeaseGrantor;
   readonly failureTimeoutMs: number;
   /** Whether this node leads the configuration shard now. */
-  readonly leading: () => boolean;
+  readonly isLeader: () => boolean;
   /** The holder as the configuration shard has it. */
-  readonly held: () => SingletonRole | undefined;
-  /** Whether this leader had an answer from a controller lately; undefined where the shard does not tell. */
-  readonly answers: (name: NodeName) => boolean | undefined;
+  readonly committedHolder: () => SingletonRole | undefined;
+  /** Whether a controller answered this leader within the failure timeout; undefined for one outside the configuration shard. */
+  readonly respondsToLeader: (name: NodeName) => boolean | undefined;
 }
 
-/** A look costs no message while the lease is renewed; so often into a failure timeout its lapse is looked for. */
-const looksPerTimeout = 8;
-/** A candidate that has not claimed within this part of a failure timeout is passed over. */
+/** A check sends nothing while the lease is renewed; so often in a failure timeout an expired one is looked for. */
+const vacancyChecksPerTimeout = 8;
+/** Of a failure timeout: how long a candidate has to claim before the next one is offered the role. */
 const offerRatio = 0.5;
 
 /**
- * On the leader of the configuration shard: offers a role that nobody may act under to one candidate after another, in the agreed
- * order, those that answer this leader first. Whether other nodes hear a candidate decides nothing: only its claim does.
+ * On the leader of the configuration shard: offers a vacant role to one candidate after another, in the agreed order, those that
+ * answer this leader first. Whether other nodes reach a candidate is not considered: its claim shows whether it can hold the role.
  */
 export class RoleOffers {
   readonly #options: RoleOffersOptions;
-  readonly #stop: () => void;
+  #stop = (): void => undefined;
   #offering = false;
 
   constructor(options: RoleOffersOptions) {
     this.#options = options;
-    this.#stop = every(options.clock, options.failureTimeoutMs / looksPerTimeout, () => this.look());
+  }
+
+  start(): void {
+    const { clock, failureTimeoutMs } = this.#options;
+    this.#stop = every(clock, failureTimeoutMs / vacancyChecksPerTimeout, () => this.#offerIfVacant());
   }
 
   close(): void {
     this.#stop();
   }
 
-  /** Offers the role once, to as many candidates as it takes, if it is vacant. */
-  async look(): Promise<void> {
-    if (this.#offering || !this.#vacant()) return;
+  /** Ends when a candidate has accepted, all were asked, or the role is no longer vacant. */
+  async #offerIfVacant(): Promise<void> {
+    if (this.#offering || !this.#isVacant()) return;
     this.#offering = true;
     try {
       for (const candidate of this.#candidates()) {
-        if (!this.#vacant() || (await this.#offer(candidate))) return;
+        if (!this.#isVacant() || (await this.#offer(candidate))) return;
       }
     } finally {
       this.#offering = false;
     }
   }
 
-  #vacant(): boolean {
-    const { leading, grantor, role, held } = this.#options;
-    return leading() && grantor.vacant(role, held());
+  #isVacant(): boolean {
+    const { isLeader, grantor, role, committedHolder } = this.#options;
+    return isLeader() && grantor.isVacant(role, committedHolder());
   }
 
   #candidates(): readonly NodeRecord[] {
-    const { membership, role, answers } = this.#options;
-    const nodeRecords = new Map(
-      membership.live().flatMap((nodeRecord) => (nodeRecord.role === 'controller' ? [[nodeRecord.name, nodeRecord] as const] : [])),
-    );
+    const { membership, role, respondsToLeader } = this.#options;
+    const controllers = membership.live().filter((nodeRecord) => nodeRecord.role === 'controller');
+    const nodeRecords = new Map(controllers.map((nodeRecord) => [nodeRecord.name, nodeRecord]));
     const order = roleOrder(role, [...nodeRecords.keys()]);
-    const later = order.filter((name) => answers(name) === false);
-    const sooner = order.filter((name) => answers(name) !== false);
-    return [...sooner, ...later].flatMap((name) => nodeRecords.get(name) ?? []);
+    const first = order.filter((name) => respondsToLeader(name) !== false);
+    const last = order.filter((name) => respondsToLeader(name) === false);
+    const candidates = [...first, ...last];
+    return candidates.map((name) => nodeRecords.get(name)).filter((nodeRecord) => nodeRecord !== undefined);
   }
 
   async #offer(candidate: NodeRecord): Promise<boolean> {
-    const { transport, counters, role, held, failureTimeoutMs } = this.#options;
-    const term = (held()?.term ?? 0) + 1;
-    const offer = transport.ask(candidate.address, controllerCalls.offerRole, { role, term: term }, failureTimeoutMs * offerRatio);
-    const taken = await offer.then(
+    const { transport, counters, role, committedHolder, failureTimeoutMs } = this.#options;
+    const term = (committedHolder()?.term ?? 0) + 1;
+    const offer = transport.ask(candidate.address, controllerCalls.offerRole, { role, term }, failureTimeoutMs * offerRatio);
+    const accepted = await offer.then(
       (response) => response.taken,
       () => false,
     );
-    counters.add(taken ? 'controller.rolesGranted' : 'controller.candidatesPassedOver');
-    return taken;
+    counters.add(accepted ? 'controller.rolesGranted' : 'controller.candidatesPassedOver');
+    return accepted;
   }
 }
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -216,8 +216,8 @@
     edits: [
       {
         file: `${controller}/roles/roleOffers.js`,
-        text: 'return [...sooner, ...later].flatMap(',
-        instead: 'return order.slice(0, 1).flatMap(',
+        text: 'const candidates = [...first, ...last];',
+        instead: 'const candidates = order.slice(0, 1);',
       },
     ],
   },
