--- a/programs/controller/src/dispatcher/batchShardNames.ts
+++ b/programs/controller/src/dispatcher/batchShardNames.ts
@@ -1,4 +1,6 @@
-/** The consensus groups that keep the batches. Their names are stored and sent: they keep the word of format 1. */
+import { shardNames } from '../placement/index.js';
+
+/** The consensus groups that keep the batches. */
 export function batchShardNames(batchShards: number): readonly string[] {
-  return Array.from({ length: batchShards }, (_, shard) => `lots-${shard}`);
+  return shardNames('lots', batchShards);
 }
--- a/programs/controller/src/placement/initialGroup.ts
+++ b/programs/controller/src/placement/initialGroup.ts
@@ -5,7 +5,7 @@
 
 /**
  * The first group of a shard that has none: every machine that shall hold a copy, each a voter.
- * Undefined while one of them does not answer, since a group must not begin without its full set of voters.
+ * Undefined while one of them does not answer within `waitMs`, since a group must not begin without its full set of voters.
  */
 export async function initialGroup(
   transport: Transport,
@@ -16,6 +16,7 @@
   const answers = await Promise.all(
     addresses.map((address) => transport.ask(address, consensusCalls.identify, { shard }, waitMs).catch(() => undefined)),
   );
-  const group = answers.flatMap((identity) => (identity === undefined ? [] : [{ identity, isVoter: true }]));
-  return group.length < addresses.length ? undefined : group;
+  const identities = answers.filter((identity) => identity !== undefined);
+  if (identities.length < addresses.length) return undefined;
+  return identities.map((identity) => ({ identity, isVoter: true }));
 }
--- a/programs/controller/src/placement/placement.ts
+++ b/programs/controller/src/placement/placement.ts
@@ -1,14 +1,13 @@
 import * as v from 'valibot';
-import { Address, Count, NodeName, ZoneName } from '@pewterlanding/model';
+import { Count, NodeName } from '@pewterlanding/model';
+import { PlacedMachine } from './placedMachine.js';
 
-const StateMachine = v.strictObject({ role: v.picklist(['controller', 'store']), address: Address, zone: ZoneName });
-
-/** Which machines have announced themselves, and which of them shall sit in each shard, in order. */
+/** Which machines have announced themselves, and on which of them each shard's members are placed, in order. Persisted. */
 export const Placement = v.strictObject({
   version: Count,
-  machines: v.record(NodeName, StateMachine),
+  machines: v.record(NodeName, PlacedMachine),
   shards: v.record(v.string(), v.array(NodeName)),
-  /** Stores that shall hold nothing any more. */
+  /** Stores that are being drained: they shall hold no copies. */
   emptying: v.array(NodeName),
 });
 export type Placement = v.InferOutput<typeof Placement>;
--- a/programs/controller/src/placement/placementCalls.ts
+++ b/programs/controller/src/placement/placementCalls.ts
@@ -3,12 +3,12 @@
 import { NodeName } from '@pewterlanding/model';
 import { defineCall } from '@pewterlanding/runtime';
 
-const Named = v.strictObject({ name: NodeName });
+const DrainedStore = v.strictObject({ name: NodeName });
 
-/** What is asked of the leader of the setup shard about stores that shall go. */
+/** Calls to the leader of the configuration shard about stores that are to be drained. */
 export const placementCalls = {
-  /** Moves all copies away from a store; asked again, it is still under way. */
-  empty: defineCall('controller.empty', Named, leaderReply(v.picklist(['started', 'unknown', 'too few']))),
-  /** Settled once nothing is lost when the store and its disk are taken away. */
-  emptied: defineCall('controller.emptied', Named, leaderReply(v.picklist(['running', 'settled', 'unknown']))),
+  /** Starts moving all copies off a store; idempotent while the drain is running. */
+  empty: defineCall('controller.empty', DrainedStore, leaderReply(v.picklist(['started', 'unknown', 'too few']))),
+  /** `settled` once no committed data is lost when the store and its disk are removed. */
+  emptied: defineCall('controller.emptied', DrainedStore, leaderReply(v.picklist(['running', 'settled', 'unknown']))),
 };
--- a/programs/controller/src/placement/placementController.ts
+++ b/programs/controller/src/placement/placementController.ts
@@ -1,14 +1,18 @@
-import type { Member, LeaderFinder } from '@pewterlanding/consensus';
-import { consensusCalls, replyAsLeader } from '@pewterlanding/consensus';
+import type { LeaderFinder } from '@pewterlanding/consensus';
+import { replyAsLeader } from '@pewterlanding/consensus';
 import type { Membership } from '@pewterlanding/membership';
+import { entriesOf } from '@pewterlanding/model';
 import type { NodeName } from '@pewterlanding/model';
 import type { Clock, Counters, Transport } from '@pewterlanding/runtime';
-import { entriesOf } from '@pewterlanding/model';
+import { Absences } from './absences.js';
 import { nextPlacement } from './nextPlacement.js';
+import type { PlacedShard } from './placedShard.js';
 import { placementCalls } from './placementCalls.js';
-import type { ConfigurationCommand } from '../configuration/configurationCommand.js';
-import type { ConfigurationShard } from '../configuration/configurationShard.js';
-import type { ConfigurationReturn } from '../configuration/configurationReturn.js';
+import type { PlacementMember } from './placementMember.js';
+import type { PlacementState } from './placementState.js';
+import type { PlacementView } from './placementView.js';
+import { shardNames } from './shardNames.js';
+import { StoreDrain } from './storeDrain.js';
 
 interface PlacementControllerOptions {
   readonly membership: Membership;
@@ -17,169 +21,140 @@
   readonly counters: Counters;
   readonly failureTimeoutMs: number;
   readonly finder: LeaderFinder;
-  readonly machine: ConfigurationShard;
-  readonly member: () => Member<ConfigurationCommand, ConfigurationReturn> | undefined;
-  /** Copies of every shard; left out, the setup says. */
+  /** The configuration shard's state on this node. */
+  readonly machine: PlacementState;
+  readonly member: () => PlacementMember | undefined;
+  /** Copies of every shard; left out, the configuration says. */
   readonly copies: number | undefined;
 }
 
-/** How many silences a machine may be away before its seats go to others, by how that is known. */
-const patience = { gone: 1, left: 2, unheard: 4 };
-/** A shard waits so many silences for as many machines as it shall have copies. */
-const foundingSilences = 3;
+const defaultCopies = 3;
+/** So many failure timeouts a new shard waits for as many machines as it has copies. */
+const placementTimeouts = 3;
 
-/** On the leader of the setup shard, where machines join by announcing themselves: keeps the seating in step with who is here. */
+/**
+ * On the leader of the configuration shard, in fleets whose machines join by announcing themselves: a reconciler that keeps the
+ * committed placement in step with the live machines. Level-triggered: each step computes the placement from the present state.
+ */
 export class PlacementController {
   readonly #options: PlacementControllerOptions;
-  readonly #awaySince = new Map<NodeName, number>();
-  #sinceMs: number | undefined;
+  readonly #absences: Absences;
+  readonly #drain: StoreDrain;
+  /** When the wait for missing machines began. */
+  #waitsSinceMs = 0;
   #term = -1;
-  #configuration = false;
-  #stepping = false;
-  #again = false;
-  #cancel = (): void => undefined;
+  #hadConfiguration = false;
+  #isReconciling = false;
+  #isRequested = false;
+  #cancelTimer = (): void => undefined;
 
+  /** Wires the controller, serves its calls, and has it react to membership. It runs no timer until a machine is absent. */
   constructor(options: PlacementControllerOptions) {
+    const { membership, transport } = options;
     this.#options = options;
-    options.membership.onNodeRecord(() => this.nudge());
-    options.transport.serve(placementCalls.empty, ({ name }) => replyAsLeader(() => this.#empty(name)));
-    options.transport.serve(placementCalls.emptied, ({ name }) => replyAsLeader(() => this.#emptied(name)));
+    this.#absences = new Absences(options);
+    this.#drain = new StoreDrain({
+      ...options,
+      copies: () => this.#copies,
+      isJoining: () => this.#isJoining,
+      isLost: (name) => this.#absences.isLost(name),
+      marked: () => this.nudge(),
+    });
+    membership.onNodeRecord(() => this.nudge());
+    transport.serve(placementCalls.empty, ({ name }) => replyAsLeader(() => this.#drain.start(name)));
+    transport.serve(placementCalls.emptied, ({ name }) => replyAsLeader(() => this.#drain.progress(name)));
   }
 
   close(): void {
-    this.#cancel();
+    this.#cancelTimer();
   }
 
-  /** Looks now; also after anything that the seating depends on has changed. */
+  /** Requests a reconciliation; to be called after any change that the placement depends on. */
   nudge(): void {
-    void this.#step().catch(() => this.#options.counters.add('controller.notSeated'));
+    void this.#reconcile().catch(() => this.#options.counters.add('controller.notSeated'));
   }
 
   get #copies(): number {
-    return this.#options.copies ?? this.#options.machine.configuration?.copies ?? 3;
+    return this.#options.copies ?? this.#options.machine.configuration?.copies ?? defaultCopies;
   }
 
-  /** With a setup that lists its machines those are all there are; without any setup only a fleet that says its copies grows. */
-  get #joining(): boolean {
+  /** A configuration that lists its machines is complete; before the first configuration only a fleet with stated copies grows. */
+  get #isJoining(): boolean {
     return this.#options.machine.configuration?.joining ?? this.#options.copies !== undefined;
   }
 
-  async #step(): Promise<void> {
-    this.#again = true;
-    if (this.#stepping) return;
-    this.#stepping = true;
+  /** One reconciliation at a time; requests that come meanwhile are merged into one more. */
+  async #reconcile(): Promise<void> {
+    this.#isRequested = true;
+    if (this.#isReconciling) return;
+    this.#isReconciling = true;
     try {
-      while (this.#again) {
-        this.#again = false;
-        await this.#one();
+      while (this.#isRequested) {
+        this.#isRequested = false;
+        await this.#reconcileOnce();
       }
     } finally {
-      this.#stepping = false;
+      this.#isReconciling = false;
     }
   }
 
-  async #one(): Promise<void> {
-    const { machine, clock, membership, failureTimeoutMs, counters } = this.#options;
+  async #reconcileOnce(): Promise<void> {
+    const { machine, clock, counters } = this.#options;
     const member = this.#options.member();
-    if (member?.isLeader !== true || !this.#joining) return;
+    if (member?.isLeader !== true || !this.#isJoining) return;
     const nowMs = clock.nowMs();
-    if (this.#term !== member.term || this.#configuration !== (machine.configuration !== undefined)) {
-      // What was away for an earlier leader, or for this one in an earlier term, is looked at anew.
-      if (this.#term !== member.term) this.#awaySince.clear();
-      this.#term = member.term;
-      this.#configuration = machine.configuration !== undefined;
-      this.#sinceMs = nowMs;
-    }
-    this.#watch(nowMs);
-    const next = nextPlacement(machine.placement, {
-      live: membership.live().flatMap(({ name, role, address, zone }) => (role === 'agent' ? [] : [{ name, role, address, zone }])),
-      gone: (name) => this.#gone(name),
-      shards: this.#shards(member),
-      patient: nowMs - (this.#sinceMs ?? nowMs) >= failureTimeoutMs * foundingSilences,
-    });
+    this.#noteTerm(member.term, nowMs);
+    this.#observeAbsences(nowMs);
+    const next = nextPlacement(machine.placement, this.#view(member, nowMs));
     if (next === undefined) return;
     counters.add('controller.seatings');
+    // The id is stored in the log: it keeps the word of format 1.
     await member.propose(`sit/${next.version}`, { kind: 'place', placement: next });
-    this.#again = true;
+    this.#isRequested = true;
   }
 
-  #shards(member: Member<ConfigurationCommand, ConfigurationReturn>) {
-    const { configuration, bootstrapped } = this.#options.machine;
-    const copies = this.#copies;
-    const controllers = { role: 'controller' as const, copies };
-    const named = (shard: string): NodeName[] => (bootstrapped[shard] ?? []).map((member) => member.identity.name);
-    const many = (kind: string, count: number): string[] => Array.from({ length: count }, (_, at) => `${kind}-${at}`);
-    return [
-      { shard: 'setup', ...controllers, sitting: member.group().map((member) => member.identity.name) },
-      ...many('services', configuration?.serviceShards ?? 0).map((shard) => ({ shard, ...controllers, sitting: named(shard) })),
-      ...many('lots', configuration?.batchShards ?? 0).map((shard) => ({ shard, role: 'store' as const, copies, sitting: named(shard) })),
-    ];
+  /** A new term or the first configuration restarts the wait for missing machines; a new term also what is known of absences. */
+  #noteTerm(term: number, nowMs: number): void {
+    const hasConfiguration = this.#options.machine.configuration !== undefined;
+    if (this.#term === term && this.#hadConfiguration === hasConfiguration) return;
+    if (this.#term !== term) this.#absences.clear();
+    this.#term = term;
+    this.#hadConfiguration = hasConfiguration;
+    this.#waitsSinceMs = nowMs;
   }
 
-  /** Since when each machine is away; looks again when the first patience ends. */
-  #watch(nowMs: number): void {
-    const { machine, membership, clock } = this.#options;
+  /** Reconciles again when the next absent machine counts as lost. */
+  #observeAbsences(nowMs: number): void {
+    const { machine, clock } = this.#options;
     const names = entriesOf(machine.placement.machines).map(([name]) => name);
-    for (const name of this.#awaySince.keys()) if (!names.includes(name)) this.#awaySince.delete(name);
-    for (const name of names) {
-      if (membership.nodeRecord(name) !== undefined) this.#awaySince.delete(name);
-      else if (!this.#awaySince.has(name)) this.#awaySince.set(name, nowMs);
-    }
-    const waits = [...this.#awaySince.keys()].map((name) => this.#patienceMs(name) - this.#awayMs(name)).filter((waitMs) => waitMs > 0);
-    this.#cancel();
-    if (waits.length > 0) this.#cancel = clock.after(Math.min(...waits) + 1, () => this.nudge());
-  }
-
-  #awayMs(name: NodeName): number {
-    const nowMs = this.#options.clock.nowMs();
-    return nowMs - (this.#awaySince.get(name) ?? nowMs);
+    this.#absences.observe(names, nowMs);
+    const nextLossMs = this.#absences.nextLossMs();
+    this.#cancelTimer();
+    if (nextLossMs !== undefined) this.#cancelTimer = clock.after(nextLossMs + 1, () => this.nudge());
   }
 
-  #patienceMs(name: NodeName): number {
-    const state = this.#options.membership.nodeRecords().find((nodeRecord) => nodeRecord.name === name)?.state;
-    const silences = state === 'gone' || state === 'left' ? patience[state] : patience.unheard;
-    return silences * this.#options.failureTimeoutMs;
-  }
-
-  #gone(name: NodeName): boolean {
-    return this.#awaySince.has(name) && this.#awayMs(name) >= this.#patienceMs(name);
-  }
-
-  async #confirmed(): Promise<Member<ConfigurationCommand, ConfigurationReturn>> {
-    const member = this.#options.member();
-    if (member === undefined) throw new Error('not yet a member of the setup part');
-    await member.confirmLeadership();
-    return member;
-  }
-
-  async #empty(name: NodeName): Promise<'started' | 'unknown' | 'too few'> {
-    const member = await this.#confirmed();
-    const { placement } = this.#options.machine;
-    if (!this.#joining) return 'unknown';
-    const away = entriesOf(placement.machines).flatMap(([other]) => (this.#gone(other) ? [other] : []));
-    const response = await member.propose(`empty/${name}/${placement.version}`, { kind: 'empty', name, away, minimum: this.#copies });
-    this.nudge();
-    return response.empty ?? 'unknown';
+  #view(member: PlacementMember, nowMs: number): PlacementView {
+    const { membership, failureTimeoutMs } = this.#options;
+    const live: PlacementView['live'][number][] = [];
+    for (const { name, role, address, zone } of membership.live()) if (role !== 'agent') live.push({ name, role, address, zone });
+    return {
+      live,
+      isLost: (name) => this.#absences.isLost(name),
+      shards: this.#shards(member),
+      allowsFewerCopies: nowMs - this.#waitsSinceMs >= failureTimeoutMs * placementTimeouts,
+    };
   }
 
-  /** Only what the leaders have confirmed counts, of every shard: after this word the disk is thrown away. */
-  async #emptied(name: NodeName): Promise<'running' | 'settled' | 'unknown'> {
-    await this.#confirmed();
-    const { machine, finder, failureTimeoutMs } = this.#options;
-    if (!machine.placement.emptying.includes(name)) return 'unknown';
-    if (Object.values(machine.placement.shards).some((names) => names.includes(name))) return 'running';
-    const views = await Promise.all(
-      Object.keys(machine.table().shards).map((shard) =>
-        finder.ask(shard, consensusCalls.view, { shard }, failureTimeoutMs).catch(() => undefined),
-      ),
-    );
-    // The copies that stay must all count as well, for the next loss may follow at once.
-    const whole = views.every(
-      (view) =>
-        view !== undefined &&
-        view.group.length >= this.#copies &&
-        view.group.every((member) => member.isVoter && member.identity.name !== name),
-    );
-    return whole ? 'settled' : 'running';
+  #shards(member: PlacementMember): readonly PlacedShard[] {
+    const { configuration, bootstrapped } = this.#options.machine;
+    const copies = this.#copies;
+    const firstMembers = (shard: string): NodeName[] => (bootstrapped[shard] ?? []).map(({ identity }) => identity.name);
+    const members = member.group().map(({ identity }) => identity.name);
+    const shards: PlacedShard[] = [{ shard: 'setup', role: 'controller', copies, currentMembers: members }];
+    for (const shard of shardNames('services', configuration?.serviceShards ?? 0))
+      shards.push({ shard, role: 'controller', copies, currentMembers: firstMembers(shard) });
+    for (const shard of shardNames('lots', configuration?.batchShards ?? 0))
+      shards.push({ shard, role: 'store', copies, currentMembers: firstMembers(shard) });
+    return shards;
   }
 }
--- a/programs/controller/src/placement/wantedShards.ts
+++ b/programs/controller/src/placement/wantedShards.ts
@@ -1,28 +1,32 @@
 import { entriesOf, rendezvous } from '@pewterlanding/model';
-import type { Address, NodeName, Configuration } from '@pewterlanding/model';
+import type { Configuration } from '@pewterlanding/model';
+import type { ShardAddress } from './shardAddress.js';
+import { shardNames } from './shardNames.js';
 
-interface Wanted {
-  readonly name: NodeName;
-  readonly address: Address;
-}
-
-/** Where every shard shall sit under a setup: a few machines by rendezvous, so that one machine more or less moves little. */
-export function wantedShards(configuration: Configuration): ReadonlyMap<string, Wanted[]> {
+/**
+ * Where every shard belongs under a configuration that lists its machines: as many as there are copies, by rendezvous hashing, so
+ * that one machine more or less moves few copies. The configuration shard is on all controllers.
+ */
+export function wantedShards(configuration: Configuration): ReadonlyMap<string, ShardAddress[]> {
+  const { copies, serviceShards, batchShards, emptying } = configuration;
   const controllers = entriesOf(configuration.controllers).map(([name, place]) => ({ name, address: place.address }));
   const stores = entriesOf(configuration.stores)
-    .filter(([name]) => !configuration.emptying.includes(name))
+    .filter(([name]) => !emptying.includes(name))
     .map(([name, place]) => ({ name, address: place.address }));
-  const choose = (shard: string, machines: readonly Wanted[], copies: number): Wanted[] =>
-    rendezvous(
-      shard,
-      machines.map((machine) => machine.name),
-    )
-      .slice(0, copies)
-      .flatMap((name) => machines.filter((machine) => machine.name === name));
-  const wanted = new Map<string, Wanted[]>([['setup', choose('setup', controllers, controllers.length)]]);
-  for (let shard = 0; shard < configuration.serviceShards; shard += 1)
-    wanted.set(`services-${shard}`, choose(`services-${shard}`, controllers, configuration.copies));
-  for (let shard = 0; shard < configuration.batchShards; shard += 1)
-    wanted.set(`lots-${shard}`, choose(`lots-${shard}`, stores, configuration.copies));
+  const wanted = new Map<string, ShardAddress[]>([['setup', choose('setup', controllers, controllers.length)]]);
+  for (const shard of shardNames('services', serviceShards)) wanted.set(shard, choose(shard, controllers, copies));
+  for (const shard of shardNames('lots', batchShards)) wanted.set(shard, choose(shard, stores, copies));
   return wanted;
 }
+
+function choose(shard: string, machines: readonly ShardAddress[], copies: number): ShardAddress[] {
+  const order = rendezvous(
+    shard,
+    machines.map((machine) => machine.name),
+  );
+  const byName = new Map(machines.map((machine) => [machine.name, machine]));
+  return order
+    .slice(0, copies)
+    .map((name) => byName.get(name))
+    .filter((machine) => machine !== undefined);
+}
--- a/programs/controller/test/nextPlacement.test.ts
+++ b/programs/controller/test/nextPlacement.test.ts
@@ -18,23 +18,27 @@
 
 interface Given {
   readonly gone?: readonly string[];
-  readonly patient?: boolean;
+  readonly allowsFewerCopies?: boolean;
   readonly copies?: number;
 }
 
-function member(now: Placement, here: readonly string[], { gone = [], patient = false, copies = 3 }: Given = {}): Placement {
-  const shards = ['lots-0', 'lots-1'].map((shard) => ({ shard, role: 'store' as const, copies, sitting: [] }));
-  return nextPlacement(now, { live: live(...here), gone: (one) => gone.includes(one), shards, patient }) ?? now;
+function member(now: Placement, here: readonly string[], { gone = [], allowsFewerCopies = false, copies = 3 }: Given = {}): Placement {
+  const shards = ['lots-0', 'lots-1'].map((shard) => ({ shard, role: 'store' as const, copies, currentMembers: [] }));
+  return nextPlacement(now, { live: live(...here), isLost: (one) => gone.includes(one), shards, allowsFewerCopies }) ?? now;
 }
 
 const members = (placement: Placement): readonly string[] => [...(placement.shards['lots-0'] ?? [])].sort();
 const six = ['s1a', 's2b', 's3c', 's4a', 's5b', 's6c'];
 
-describe('who sits where among machines that joined', () => {
+describe('the placement on machines that joined', () => {
   it('waits for as many machines as there are copies, but not for ever', () => {
     expect(members(member(none, ['s1a', 's2b']))).toEqual([]);
-    expect(members(member(none, ['s1a', 's2b'], { patient: true }))).toEqual(['s1a', 's2b']);
-    expect(members(member(member(none, ['s1a', 's2b'], { patient: true }), ['s1a', 's2b', 's3c']))).toEqual(['s1a', 's2b', 's3c']);
+    expect(members(member(none, ['s1a', 's2b'], { allowsFewerCopies: true }))).toEqual(['s1a', 's2b']);
+    expect(members(member(member(none, ['s1a', 's2b'], { allowsFewerCopies: true }), ['s1a', 's2b', 's3c']))).toEqual([
+      's1a',
+      's2b',
+      's3c',
+    ]);
   });
 
   it('spreads over zones, and stays as it is when machines come', () => {
@@ -55,7 +59,7 @@
     expect(member(next, ['s1a', 's4a', 's7a', 's2b'])).toEqual(next);
   });
 
-  it('gives the seat of one that is gone to a newcomer, last in the order, and moves nobody else', () => {
+  it('replaces a lost member by a newcomer, last in the order, and moves no other', () => {
     const now = member(none, ['s1a', 's2b', 's3c']);
     const before = now.shards['lots-0'] ?? [];
     const [lost = name('s1a'), ...stay] = before;
@@ -65,14 +69,14 @@
     expect(member(now, [...here, 's9a'], { gone: [lost] }).shards['lots-0']).toEqual([...stay, name('s9a')]);
   });
 
-  it('keeps the seat of an old name at a new address, and forgets what was asked of the machine before', () => {
+  it('keeps a member of a known name at a new address, and forgets the drain of the machine before', () => {
     const now = { ...member(none, ['s1a', 's2b', 's3c', 's4a']), emptying: [name('s1a')] };
     const next = member(now, ['s1a@77', 's2b', 's3c', 's4a']);
     expect(next.machines[name('s1a')]?.address).toEqual(live('s1a@77')[0]?.address);
     expect(next.emptying).toEqual([]);
   });
 
-  it('empties a store only where another takes its seat, and forgets it once it is gone', () => {
+  it('drains a store only where another can take its place, and forgets it once it is lost', () => {
     const four = ['s1a', 's2b', 's3c', 's4a'];
     const now = { ...member(none, four), emptying: [name('s2b')] };
     const next = member(now, four);
--- a/testing/simulator/src/mutation/controlMutations.ts
+++ b/testing/simulator/src/mutation/controlMutations.ts
@@ -54,12 +54,12 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${controller}/placement/placementController.js`,
+        file: `${controller}/placement/storeDrain.js`,
         text: 'if (Object.values(machine.placement.shards).some((names) => names.includes(name)))',
         instead: 'if (false)',
       },
       {
-        file: `${controller}/placement/placementController.js`,
+        file: `${controller}/placement/storeDrain.js`,
         text: "return whole ? 'settled' : 'running';",
         instead: "return 'settled';",
       },
