--- a/programs/controller/src/replicas/knownInstances.ts
+++ b/programs/controller/src/replicas/knownInstances.ts
@@ -8,62 +8,63 @@
   readonly disk: Disk;
   readonly clock: Clock;
   readonly counters: Counters;
-  /** How long changes are gathered before the file is written. */
-  readonly gatherMs: number;
+  /** How long changes are collected before the file is written. */
+  readonly writeDelayMs: number;
   readonly instances: () => readonly Replica[];
 }
 
+/** The word of format 1 for an instance is part of the file's name. */
 const file = 'replica.lives';
-const Kept = v.array(Replica);
+const StoredReplicas = v.array(Replica);
 
 /**
- * The lives that a controller knows, in a file beside the shards. It only helps fronts over the first moments after all
- * machines were off; who lost it waits for the replicas' next words. So nothing waits for its writing.
+ * The instances that a controller knows, in a file of its own. It only shortens the time until fronts can route after all machines
+ * were off; without it they wait for the next heartbeats. So nothing waits for a write, and a failed one is only counted.
  */
 export class KnownInstances {
   readonly #options: KnownInstancesOptions;
   readonly #journal: Journal;
-  #cancel: (() => void) | undefined;
-  #writing = false;
-  #again = false;
-  #closed = false;
+  #cancelWrite: (() => void) | undefined;
+  #isWriting = false;
+  #isDirty = false;
+  #isClosed = false;
 
   constructor(options: KnownInstancesOptions) {
     this.#options = options;
     this.#journal = new Journal(options.disk, file);
   }
 
-  /** What was known when the file was last written. */
-  async recall(): Promise<readonly Replica[]> {
+  /** The instances as of the last write; none where the file is missing or unreadable. */
+  async load(): Promise<readonly Replica[]> {
     const { records } = await this.#journal.open();
-    const read = v.safeParse(Kept, renameFields(records.at(-1), { life: 'instance' }));
+    const read = v.safeParse(StoredReplicas, renameFields(records.at(-1), { life: 'instance' }));
     return read.success ? read.output : [];
   }
 
-  /** More than a counter has changed. */
+  /** To be called when more than a heartbeat counter has changed. */
   changed(): void {
-    this.#again = true;
-    if (this.#writing || this.#closed) return;
-    this.#cancel ??= this.#options.clock.after(this.#options.gatherMs, () => void this.#write());
+    this.#isDirty = true;
+    if (this.#isWriting || this.#isClosed) return;
+    this.#cancelWrite ??= this.#options.clock.after(this.#options.writeDelayMs, () => void this.#write());
   }
 
   close(): void {
-    this.#closed = true;
-    this.#cancel?.();
+    this.#isClosed = true;
+    this.#cancelWrite?.();
   }
 
   async #write(): Promise<void> {
     const { counters, instances } = this.#options;
-    this.#cancel = undefined;
-    this.#again = false;
-    this.#writing = true;
+    this.#cancelWrite = undefined;
+    this.#isDirty = false;
+    this.#isWriting = true;
     try {
       await this.#journal.rewrite([instances()]);
     } catch {
       counters.add('replica.livesNotKept');
     } finally {
-      this.#writing = false;
-      if (this.#again) this.changed();
+      this.#isWriting = false;
+      if (this.#isDirty) this.changed();
     }
   }
 }
--- a/programs/controller/src/replicas/serviceRegistry.ts
+++ b/programs/controller/src/replicas/serviceRegistry.ts
@@ -4,24 +4,29 @@
 import { updateKeys, Replica, Usage } from '@pewterlanding/agent';
 import { shardOf } from '@pewterlanding/model';
 import type { ServiceName, Configuration } from '@pewterlanding/model';
+import type { Update } from '@pewterlanding/membership';
 import { announceGroup } from '@pewterlanding/store';
 import type { ControllerOptions } from '../controllerOptions.js';
 import type { ServiceCommand } from './serviceCommand.js';
+import type { ServiceReturn } from './serviceReturn.js';
 import { ServiceShard } from './serviceShard.js';
 
-type Done = ReturnType<ServiceShard['apply']>;
+type HostedServiceShard = HostedShard<ServiceCommand, ServiceReturn, ServiceShard>;
 
-/** The service shards on a controller. All controllers see the news; the leader of a service's part writes what must last and tells it. */
+/**
+ * The service shards on a controller. All controllers see the gossiped updates; the leader of a service's shard has those committed
+ * that must last, and publishes the committed state in the state table.
+ */
 export class ServiceRegistry {
   readonly #options: ControllerOptions;
   readonly #configuration: () => Configuration | undefined;
-  readonly #shards: ShardSet<ServiceCommand, Done, ServiceShard>;
+  readonly #shards: ShardSet<ServiceCommand, ServiceReturn, ServiceShard>;
 
   constructor(options: ControllerOptions, host: ShardHost, configuration: () => Configuration | undefined) {
     const { membership, transport, clock, counters, log, bounds } = options;
     this.#options = options;
     this.#configuration = configuration;
-    this.#shards = new ShardSet<ServiceCommand, Done, ServiceShard>({
+    this.#shards = new ShardSet<ServiceCommand, ServiceReturn, ServiceShard>({
       prefix: 'services-',
       name: membership.name,
       host,
@@ -34,59 +39,63 @@
       stateMachine: () => new ServiceShard(),
       told: (shard) => membership.stateTable.get(ShardMap.groupKey(shard))?.value,
       tell: (member) => announceGroup(membership, member),
-      applied: (kept) => this.#tell(kept),
+      applied: (hosted) => this.#publish(hosted),
     });
     membership.onNodeRecord((nodeRecord, begun) => {
       if (begun) this.#shards.meet(nodeRecord.address);
     });
-    membership.onUpdate((update) => {
-      if (update.key === ShardMap.key) this.#shards.take(ShardMap.read(update.value));
-      if (update.key.startsWith(updateKeys.replicas)) this.#notice(update.value);
-      if (update.key.startsWith(updateKeys.usages)) this.#learn(update.value);
-    });
+    membership.onUpdate((update) => this.#takeUpdate(update));
   }
 
-  all(): Promise<readonly HostedShard<ServiceCommand, Done, ServiceShard>[]> {
+  /** The shards of which this node has a member. */
+  all(): Promise<readonly HostedServiceShard[]> {
     return this.#shards.all();
   }
 
-  leave(patienceMs: number): Promise<void> {
-    return this.#shards.leave(patienceMs);
+  /** Transfers the leadership of the shards that are led here, for at most so many ms. */
+  leave(timeoutMs: number): Promise<void> {
+    return this.#shards.leave(timeoutMs);
   }
 
   close(): void {
     this.#shards.close();
   }
 
-  #learn(value: unknown): void {
+  #takeUpdate({ key, value }: Update): void {
+    if (key === ShardMap.key) this.#shards.take(ShardMap.read(value));
+    if (key.startsWith(updateKeys.replicas)) this.#recordLeft(value);
+    if (key.startsWith(updateKeys.usages)) this.#recordUsage(value);
+  }
+
+  #recordUsage(value: unknown): void {
     const read = v.safeParse(Usage, value);
-    if (read.success) this.#write(read.output.service, { kind: 'learn', ...read.output });
+    if (read.success) this.#propose(read.output.service, { kind: 'learn', ...read.output });
   }
 
-  /** A replica's life that ended must stay ended, even when every front has forgotten it. */
-  #notice(value: unknown): void {
+  /** A replica that has left must stay so, even when every front has forgotten it. */
+  #recordLeft(value: unknown): void {
     const read = v.safeParse(Replica, value);
-    // A life that names itself never returns under its name: nothing has to outlast the fronts.
+    // A named instance never returns under its name: nothing has to outlast the fronts.
     if (!read.success || read.output.state !== 'leaving' || read.output.instance !== undefined) return;
     const { service, address, incarnation } = read.output;
-    this.#write(service, { kind: 'left', service, address, incarnation });
+    this.#propose(service, { kind: 'left', service, address, incarnation });
   }
 
-  #write(service: ServiceName, command: ServiceCommand): void {
+  #propose(service: ServiceName, command: ServiceCommand): void {
     const shard = shardOf('services', service, this.#configuration()?.serviceShards ?? 1);
-    // The command is its own id: all that see the same news write it once.
+    // The command is its own id: however often the same update is seen, it is applied once.
     this.#shards
       .asLeader(shard, ({ member }) => member.propose(JSON.stringify(command), command))
       .catch(() => this.#options.counters.add('controller.notWritten'));
   }
 
-  #tell({ stateMachine, member }: HostedShard<ServiceCommand, Done, ServiceShard>): void {
-    for (const [service, known] of Object.entries(stateMachine.services)) {
+  #publish({ stateMachine, member }: HostedServiceShard): void {
+    for (const [service, statistics] of Object.entries(stateMachine.services)) {
       this.#options.membership.put({
         key: updateKeys.service(service),
         version: [member.term, member.committed],
         volatile: false,
-        value: known,
+        value: statistics,
       });
     }
   }
--- a/programs/controller/src/replicas/serviceShard.ts
+++ b/programs/controller/src/replicas/serviceShard.ts
@@ -2,14 +2,13 @@
 import type { StateMachine } from '@pewterlanding/consensus';
 import { LearnedServiceStatistics } from '@pewterlanding/agent';
 import { ServiceCommand } from './serviceCommand.js';
+import { ServiceReturn } from './serviceReturn.js';
 import { serviceShardFormat1 } from './serviceShardFormat1.js';
 
-const Done = v.strictObject({ done: v.literal(true) });
-type Done = v.InferOutput<typeof Done>;
-const Digest = v.record(v.string(), LearnedServiceStatistics);
+const Snapshot = v.record(v.string(), LearnedServiceStatistics);
 
-/** What is learned of services and must outlast every front: their usual output, and which replica lives have ended. */
-export class ServiceShard implements StateMachine<ServiceCommand, Done> {
+/** The replicated state of a service shard: the usual output of services, and which replicas have left, so that both outlast fronts. */
+export class ServiceShard implements StateMachine<ServiceCommand, ServiceReturn> {
   #services: Record<string, LearnedServiceStatistics> = {};
 
   get services(): Readonly<Record<string, LearnedServiceStatistics>> {
@@ -20,17 +19,13 @@
     return v.parse(ServiceCommand, serviceShardFormat1(raw));
   }
 
-  readReturn(raw: unknown): Done {
-    return v.parse(Done, raw);
+  readReturn(raw: unknown): ServiceReturn {
+    return v.parse(ServiceReturn, raw);
   }
 
-  apply(command: ServiceCommand): Done {
+  apply(command: ServiceCommand): ServiceReturn {
     const known = this.#services[command.service] ?? { left: {} };
-    const next: LearnedServiceStatistics =
-      command.kind === 'learn'
-        ? { ...known, outputTokens: command.outputTokens }
-        : { ...known, left: { ...known.left, [command.address]: Math.max(command.incarnation, known.left[command.address] ?? 0) } };
-    this.#services = { ...this.#services, [command.service]: next };
+    this.#services = { ...this.#services, [command.service]: afterCommand(known, command) };
     return { done: true };
   }
 
@@ -39,6 +34,12 @@
   }
 
   restore(raw: unknown): void {
-    this.#services = v.parse(Digest, raw);
+    this.#services = v.parse(Snapshot, raw);
   }
 }
+
+function afterCommand(known: LearnedServiceStatistics, command: ServiceCommand): LearnedServiceStatistics {
+  if (command.kind === 'learn') return { ...known, outputTokens: command.outputTokens };
+  const incarnation = Math.max(command.incarnation, known.left[command.address] ?? 0);
+  return { ...known, left: { ...known.left, [command.address]: incarnation } };
+}
