--- a/programs/controller/src/dispatcher/claimPlanner.ts
+++ b/programs/controller/src/dispatcher/claimPlanner.ts
@@ -1,7 +1,6 @@
 import type { Configuration, NodeName, QuotaName } from '@pewterlanding/model';
 import type { Counter } from '@pewterlanding/rate-limit';
 import type { Clock } from '@pewterlanding/runtime';
-import type { QueuedItem } from '@pewterlanding/store';
 import { batchCapacity } from './batchCapacity.js';
 import { batchConcurrencyLimit } from './batchConcurrencyLimit.js';
 import type { FrontHeartbeats } from './frontHeartbeats.js';
@@ -9,6 +8,7 @@
 import type { ReplicaPool } from './replicaPool.js';
 import { selectItems } from './selectItems.js';
 import type { ShardClaim } from './shardClaim.js';
+import type { ShardItem } from './shardItem.js';
 import type { ShardView } from './shardView.js';
 
 interface ClaimPlannerOptions {
@@ -32,8 +32,6 @@
   readonly byFront: Map<NodeName, number>;
 }
 
-type ShardItem = QueuedItem & { readonly shard: string };
-
 const minReadLimit = 8;
 
 /** Decides which queued items a tick claims and which front runs each, within the concurrency limit, the pools and the quotas. */
--- a/programs/controller/src/dispatcher/dispatchRole.ts
+++ b/programs/controller/src/dispatcher/dispatchRole.ts
@@ -1,17 +1,24 @@
 import * as v from 'valibot';
 import { SingletonRole, updateKeys } from '@pewterlanding/agent';
 import type { LeaderFinder } from '@pewterlanding/consensus';
+import type { Membership } from '@pewterlanding/membership';
 import type { VersionedConfiguration } from '@pewterlanding/model';
 import type { Balances } from '@pewterlanding/rate-limit';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { controllerCalls } from '../controllerCalls.js';
-import type { ControllerOptions } from '../controllerOptions.js';
 import { reachesMajority, RoleLeaseGrantor, RoleLeaseHolder, RoleOffers, serveRoleLeases } from '../roles/index.js';
 import type { ClaimRole, RoleMember, RoleState } from '../roles/index.js';
 import { BatchShardClient } from './batchShardClient.js';
 import { Dispatcher } from './dispatcher.js';
 import { serveQuotaCalls } from './serveQuotaCalls.js';
 
-interface DispatchRoleOptions extends Pick<ControllerOptions, 'membership' | 'clock' | 'transport' | 'bounds' | 'counters' | 'log'> {
+interface DispatchRoleOptions {
+  readonly membership: Membership;
+  readonly clock: Clock;
+  readonly transport: Transport;
+  readonly bounds: { readonly failureTimeoutMs: number };
+  readonly counters: Counters;
+  readonly log: Log;
   readonly finder: LeaderFinder;
   /** The configuration shard's state on this node. */
   readonly machine: RoleState;
--- a/programs/controller/src/dispatcher/selectItems.ts
+++ b/programs/controller/src/dispatcher/selectItems.ts
@@ -1,81 +1,89 @@
 import type { QuotaName } from '@pewterlanding/model';
 import type { QueuedItem } from '@pewterlanding/store';
+import { QuotaOrder } from './quotaOrder.js';
+import type { ShardItem } from './shardItem.js';
 
-interface ReplicaSelector {
-  /** Queued items of all shards, each with the shard that keeps it. */
-  readonly items: readonly (QueuedItem & { readonly shard: string })[];
-  /** Items each branch has out already. */
+interface Selection {
+  /** Queued items of all shards. */
+  readonly items: readonly ShardItem[];
+  /** Items in flight by quota. */
   readonly out: ReadonlyMap<QuotaName, number>;
+  /** A quota's part of the fleet's ceiling. */
   readonly share: (quota: QuotaName) => number;
-  /** Services that share replicas share a pool, and its room. */
+  /** The replica pool of a service; services that share replicas share the pool and its capacity. */
   readonly poolOf: (service: string) => string;
+  /** How many more items of a service its replicas may get. */
   readonly roomOf: (service: string) => number;
-  /** Token capacity: items of about this cost that the branch could reserve now. */
+  /** Token capacity: how many items of about this cost the quota could reserve now. */
   readonly capacity: (quota: QuotaName, tokens: number) => number;
-  /** The most that may be claimed in this tick. */
+  /** The most items that may be claimed in this tick: the concurrency limit less the items in flight. */
   readonly gap: number;
 }
 
-/** The claim of one tick: min(capacity gap, token capacity), fair between branches by share, by due time and then queued_at within one. */
-export function selectItems(selector: ReplicaSelector): readonly (QueuedItem & { readonly shard: string })[] {
-  const lines = new Map<QuotaName, (QueuedItem & { readonly shard: string })[]>();
-  for (const item of [...selector.items].sort(first)) {
-    const line = lines.get(item.quota) ?? [];
-    lines.set(item.quota, line);
-    line.push(item);
-  }
-  const out = new Map(selector.out);
-  const left = new Map<QuotaName, number>();
-  for (const [quota, line] of lines) left.set(quota, selector.capacity(quota, line[0]?.tokens ?? 0));
-  const rooms = new Map<string, number>();
-  const reached = new Map<QuotaName, number>();
-  const chosen: (QueuedItem & { readonly shard: string })[] = [];
-  // The branch that is furthest below its share goes next. Only the one that was served moves in this order.
-  const weightOf = (quota: QuotaName): number => (out.get(quota) ?? 0) / Math.max(selector.share(quota), 1e-9);
-  const order = [...lines.keys()]
-    .filter((quota) => (left.get(quota) ?? 0) > 0)
-    .map((quota) => ({ quota, weight: weightOf(quota) }))
-    .sort(inTurn);
-  for (let next = order.shift(); next !== undefined && chosen.length < selector.gap; next = order.shift()) {
-    const { quota: quota } = next;
-    const line = lines.get(quota) ?? [];
-    const at = reached.get(quota) ?? 0;
-    const item = line[at];
+/** Keeps the load of a quota without a share finite. */
+const minShare = 1e-9;
+
+/**
+ * The per-tick bound of "Rate-limited batch orchestration": claims min(concurrency gap, token capacity) items, in order of due time
+ * and then of queueing within a quota, and weighted fair between quotas: the next item is of the quota with the least load.
+ */
+export function selectItems(selection: Selection): readonly ShardItem[] {
+  const queues = queuesByQuota(selection.items);
+  const inFlight = new Map(selection.out);
+  const capacityLeft = new Map<QuotaName, number>();
+  for (const [quota, queue] of queues) capacityLeft.set(quota, selection.capacity(quota, queue[0]?.tokens ?? 0));
+  const hasCapacity = (quota: QuotaName): boolean => (capacityLeft.get(quota) ?? 0) > 0;
+  const loadOf = (quota: QuotaName): number => (inFlight.get(quota) ?? 0) / Math.max(selection.share(quota), minShare);
+  const eligible = [...queues.keys()].filter(hasCapacity);
+  const order = new QuotaOrder(eligible.map((quota) => ({ quota, load: loadOf(quota) })));
+  const pools = new PoolCapacity(selection);
+  const positions = new Map<QuotaName, number>();
+  const chosen: ShardItem[] = [];
+  for (let quota = order.shift(); quota !== undefined && chosen.length < selection.gap; quota = order.shift()) {
+    const position = positions.get(quota) ?? 0;
+    const item = queues.get(quota)?.[position];
     if (item === undefined) continue;
-    reached.set(quota, at + 1);
-    const room = rooms.get(selector.poolOf(item.service)) ?? selector.roomOf(item.service);
-    if (room > 0) {
-      rooms.set(selector.poolOf(item.service), room - 1);
-      left.set(quota, (left.get(quota) ?? 0) - 1);
-      out.set(quota, (out.get(quota) ?? 0) + 1);
+    positions.set(quota, position + 1);
+    // An item whose pool is full is passed over; the quota stays in the order for its next item.
+    if (pools.take(item.service)) {
+      capacityLeft.set(quota, (capacityLeft.get(quota) ?? 0) - 1);
+      inFlight.set(quota, (inFlight.get(quota) ?? 0) + 1);
       chosen.push(item);
     }
-    if ((left.get(quota) ?? 0) > 0) insert(order, { quota, weight: weightOf(quota) });
+    if (hasCapacity(quota)) order.insert({ quota, load: loadOf(quota) });
   }
   return chosen;
 }
 
-function first(a: QueuedItem, b: QueuedItem): number {
-  return a.dueAtMs - b.dueAtMs || a.queuedAtMs - b.queuedAtMs || a.ref.position - b.ref.position;
-}
+/** What is left of each pool's capacity in this tick. */
+class PoolCapacity {
+  readonly #selection: Selection;
+  readonly #left = new Map<string, number>();
 
-interface Turn {
-  readonly quota: QuotaName;
-  readonly weight: number;
-}
+  constructor(selection: Selection) {
+    this.#selection = selection;
+  }
 
-function inTurn(a: Turn, b: Turn): number {
-  return a.weight - b.weight || (a.quota < b.quota ? -1 : 1);
+  /** Takes the capacity for one item of a service, if there is any. */
+  take(service: string): boolean {
+    const pool = this.#selection.poolOf(service);
+    const left = this.#left.get(pool) ?? this.#selection.roomOf(service);
+    if (left <= 0) return false;
+    this.#left.set(pool, left - 1);
+    return true;
+  }
 }
 
-/** Puts one where it belongs, by halving. */
-function insert(order: Turn[], turn: Turn): void {
-  let low = 0;
-  for (let high = order.length; low < high;) {
-    const middle = (low + high) >> 1;
-    const other = order[middle];
-    if (other !== undefined && inTurn(other, turn) < 0) low = middle + 1;
-    else high = middle;
+function queuesByQuota(items: readonly ShardItem[]): ReadonlyMap<QuotaName, ShardItem[]> {
+  const queues = new Map<QuotaName, ShardItem[]>();
+  for (const item of [...items].sort(compareItems)) {
+    const queue = queues.get(item.quota) ?? [];
+    queues.set(item.quota, queue);
+    queue.push(item);
   }
-  order.splice(low, 0, turn);
+  return queues;
+}
+
+function compareItems(a: QueuedItem, b: QueuedItem): number {
+  return a.dueAtMs - b.dueAtMs || a.queuedAtMs - b.queuedAtMs || a.ref.position - b.ref.position;
 }
--- a/programs/controller/src/placement/index.ts
+++ b/programs/controller/src/placement/index.ts
@@ -1,4 +1,5 @@
 /** What the neighbouring folders use of the placement of shards. */
+export * from './configurationShardName.js';
 export * from './initialGroup.js';
 export * from './nextPlacement.js';
 export * from './notAMemberError.js';
--- a/programs/controller/src/placement/placementController.ts
+++ b/programs/controller/src/placement/placementController.ts
@@ -5,6 +5,7 @@
 import type { NodeName } from '@pewterlanding/model';
 import type { Clock, Counters, Transport } from '@pewterlanding/runtime';
 import { Absences } from './absences.js';
+import { configurationShardName } from './configurationShardName.js';
 import { nextPlacement } from './nextPlacement.js';
 import type { PlacedShard } from './placedShard.js';
 import { placementCalls } from './placementCalls.js';
@@ -150,7 +151,7 @@
     const copies = this.#copies;
     const firstMembers = (shard: string): NodeName[] => (bootstrapped[shard] ?? []).map(({ identity }) => identity.name);
     const members = member.group().map(({ identity }) => identity.name);
-    const shards: PlacedShard[] = [{ shard: 'setup', role: 'controller', copies, currentMembers: members }];
+    const shards: PlacedShard[] = [{ shard: configurationShardName, role: 'controller', copies, currentMembers: members }];
     for (const shard of shardNames('services', configuration?.serviceShards ?? 0))
       shards.push({ shard, role: 'controller', copies, currentMembers: firstMembers(shard) });
     for (const shard of shardNames('lots', configuration?.batchShards ?? 0))
--- a/programs/controller/src/placement/wantedShards.ts
+++ b/programs/controller/src/placement/wantedShards.ts
@@ -1,5 +1,6 @@
 import { entriesOf, rendezvous } from '@pewterlanding/model';
 import type { Configuration } from '@pewterlanding/model';
+import { configurationShardName } from './configurationShardName.js';
 import type { ShardAddress } from './shardAddress.js';
 import { shardNames } from './shardNames.js';
 
@@ -13,7 +14,8 @@
   const stores = entriesOf(configuration.stores)
     .filter(([name]) => !emptying.includes(name))
     .map(([name, place]) => ({ name, address: place.address }));
-  const wanted = new Map<string, ShardAddress[]>([['setup', choose('setup', controllers, controllers.length)]]);
+  const wanted = new Map<string, ShardAddress[]>();
+  wanted.set(configurationShardName, choose(configurationShardName, controllers, controllers.length));
   for (const shard of shardNames('services', serviceShards)) wanted.set(shard, choose(shard, controllers, copies));
   for (const shard of shardNames('lots', batchShards)) wanted.set(shard, choose(shard, stores, copies));
   return wanted;
--- a/programs/controller/src/replicas/serviceRegistry.ts
+++ b/programs/controller/src/replicas/serviceRegistry.ts
@@ -4,13 +4,24 @@
 import { updateKeys, Replica, Usage } from '@pewterlanding/agent';
 import { shardOf } from '@pewterlanding/model';
 import type { ServiceName, Configuration } from '@pewterlanding/model';
-import type { Update } from '@pewterlanding/membership';
+import type { Membership, Update } from '@pewterlanding/membership';
+import type { Clock, Counters, Log, Transport } from '@pewterlanding/runtime';
 import { announceGroup } from '@pewterlanding/store';
-import type { ControllerOptions } from '../controllerOptions.js';
 import type { ServiceCommand } from './serviceCommand.js';
 import type { ServiceReturn } from './serviceReturn.js';
 import { ServiceShard } from './serviceShard.js';
 
+interface ServiceRegistryOptions {
+  readonly membership: Membership;
+  readonly transport: Transport;
+  readonly clock: Clock;
+  readonly counters: Counters;
+  readonly log: Log;
+  readonly bounds: { readonly failureTimeoutMs: number };
+  /** Ends the process: its disk cannot be relied on. */
+  readonly fatal: (error: unknown) => void;
+}
+
 type HostedServiceShard = HostedShard<ServiceCommand, ServiceReturn, ServiceShard>;
 
 /**
@@ -18,11 +29,11 @@
  * that must last, and publishes the committed state in the state table.
  */
 export class ServiceRegistry {
-  readonly #options: ControllerOptions;
+  readonly #options: ServiceRegistryOptions;
   readonly #configuration: () => Configuration | undefined;
   readonly #shards: ShardSet<ServiceCommand, ServiceReturn, ServiceShard>;
 
-  constructor(options: ControllerOptions, host: ShardHost, configuration: () => Configuration | undefined) {
+  constructor(options: ServiceRegistryOptions, host: ShardHost, configuration: () => Configuration | undefined) {
     const { membership, transport, clock, counters, log, bounds } = options;
     this.#options = options;
     this.#configuration = configuration;
--- a/programs/controller/src/roles/reachesMajority.ts
+++ b/programs/controller/src/roles/reachesMajority.ts
@@ -2,6 +2,7 @@
 import { consensusCalls } from '@pewterlanding/consensus';
 import type { NodeName } from '@pewterlanding/model';
 import type { Transport } from '@pewterlanding/runtime';
+import { configurationShardName } from '../placement/index.js';
 
 interface MajorityProbe {
   readonly transport: Transport;
@@ -31,7 +32,7 @@
     for (const { identity } of voters) {
       if (identity.name === self) count(true);
       else
-        transport.ask(identity.address, consensusCalls.identify, { shard: 'setup' }, waitMs).then(
+        transport.ask(identity.address, consensusCalls.identify, { shard: configurationShardName }, waitMs).then(
           () => count(true),
           () => count(false),
         );
--- a/programs/controller/src/roles/roleLeaseHolder.ts
+++ b/programs/controller/src/roles/roleLeaseHolder.ts
@@ -6,6 +6,7 @@
 import type { Clock, Counters, Log } from '@pewterlanding/runtime';
 import { every } from '@pewterlanding/runtime';
 import { controllerCalls } from '../controllerCalls.js';
+import { configurationShardName } from '../placement/index.js';
 import { ReceivedHandover } from './receivedHandover.js';
 import type { RoleHandover } from './roleHandover.js';
 import { successorOf } from './successorOf.js';
@@ -136,7 +137,9 @@
     const address = membership.nodeRecord(membership.name)?.address;
     if (address === undefined) return;
     const claim = { holder: membership.name, address, term };
-    const response = await finder.ask('setup', controllerCalls.claimRole, { role, claim }, failureTimeoutMs).catch(() => undefined);
+    const response = await finder
+      .ask(configurationShardName, controllerCalls.claimRole, { role, claim }, failureTimeoutMs)
+      .catch(() => undefined);
     if (response?.held === undefined || response.held.holder !== membership.name || response.held.term !== term) return;
     this.#begin(term, startMs);
   }
@@ -179,7 +182,9 @@
   /** Whether the grantor still knows this node's term as the last one granted; undefined without an answer. */
   async #askGrantor(term: number, release: boolean): Promise<boolean | undefined> {
     const { finder, role, failureTimeoutMs } = this.#options;
-    const response = await finder.ask('setup', controllerCalls.renewRole, { role, term, release }, failureTimeoutMs).catch(() => undefined);
+    const response = await finder
+      .ask(configurationShardName, controllerCalls.renewRole, { role, term, release }, failureTimeoutMs)
+      .catch(() => undefined);
     return response?.held;
   }
 
