--- a/programs/controller/src/dispatcher/assignItems.ts
+++ b/programs/controller/src/dispatcher/assignItems.ts
@@ -28,9 +28,12 @@
     }
     if (submitted.version > version) continue;
     const route = configuration.routes[submitted.name];
-    if (route?.kind === 'batch' && route.host === submitted.host)
-      items.push({ ...item, quota: route.quota ?? item.quota, service: serviceOf(configuration, submitted.name) ?? item.service });
-    else gone.push(item.ref);
+    if (route?.kind !== 'batch' || route.host !== submitted.host) {
+      gone.push(item.ref);
+      continue;
+    }
+    const service = serviceOf(configuration, submitted.name) ?? item.service;
+    items.push({ ...item, quota: route.quota ?? item.quota, service });
   }
   return { items, open: read.open.map((lease) => assignLease(lease, configuration)), gone };
 }
--- a/programs/controller/src/dispatcher/claimPlanner.ts
+++ b/programs/controller/src/dispatcher/claimPlanner.ts
@@ -62,16 +62,17 @@
     const live = this.#options.fronts.liveRequests();
     const poolOf = (service: string): string => poolName(pools, service);
     const total = [...inFlight.byPool.values()].reduce((sum, one) => sum + one, 0);
+    const bounds = { ...configuration.bounds, batchConcurrencyLimit: limit };
+    const capacityOf = (service: string): number => {
+      const slots = pools.get(service)?.slots ?? 0;
+      return batchCapacity(slots, live.get(service) ?? 0, inFlight.byPool.get(poolOf(service)) ?? 0, bounds);
+    };
     return selectItems({
       items: queuedItems(views, counter),
       out: inFlight.byQuota,
       share: (quota) => counter.shareOf(quota),
       poolOf,
-      roomOf: (service) =>
-        batchCapacity(pools.get(service)?.slots ?? 0, live.get(service) ?? 0, inFlight.byPool.get(poolOf(service)) ?? 0, {
-          ...configuration.bounds,
-          batchConcurrencyLimit: limit,
-        }),
+      roomOf: capacityOf,
       capacity: (quota, tokens) => counter.capacity(quota, { requests: 1, tokens }, nowMs),
       gap: Math.max(0, limit - total),
     });
--- a/programs/controller/src/roles/roleLeaseHolder.ts
+++ b/programs/controller/src/roles/roleLeaseHolder.ts
@@ -5,10 +5,9 @@
 import type { Balances } from '@pewterlanding/rate-limit';
 import type { Clock, Counters, Log } from '@pewterlanding/runtime';
 import { every } from '@pewterlanding/runtime';
-import { controllerCalls } from '../controllerCalls.js';
-import { configurationShardName } from '../placement/index.js';
 import { ReceivedHandover } from './receivedHandover.js';
 import type { RoleHandover } from './roleHandover.js';
+import { RoleLeaseClient } from './roleLeaseClient.js';
 import { successorOf } from './successorOf.js';
 
 interface RoleLeaseHolderOptions {
@@ -41,6 +40,7 @@
  */
 export class RoleLeaseHolder {
   readonly #options: RoleLeaseHolderOptions;
+  readonly #client: RoleLeaseClient;
   readonly #handover = new ReceivedHandover();
   #stops: readonly (() => void)[] = [];
   #term: number | undefined;
@@ -52,6 +52,7 @@
 
   constructor(options: RoleLeaseHolderOptions) {
     this.#options = options;
+    this.#client = new RoleLeaseClient(options);
   }
 
   /** How long a holder acts on its last renewal. */
@@ -131,17 +132,9 @@
   }
 
   async #claim(term: number): Promise<void> {
-    const { finder, clock, role, failureTimeoutMs, membership } = this.#options;
     // The lease counts from before the claim was sent, so that it ends no later here than at the grantor.
-    const startMs = clock.nowMs();
-    const address = membership.nodeRecord(membership.name)?.address;
-    if (address === undefined) return;
-    const claim = { holder: membership.name, address, term };
-    const response = await finder
-      .ask(configurationShardName, controllerCalls.claimRole, { role, claim }, failureTimeoutMs)
-      .catch(() => undefined);
-    if (response?.held === undefined || response.held.holder !== membership.name || response.held.term !== term) return;
-    this.#begin(term, startMs);
+    const startMs = this.#options.clock.nowMs();
+    if (await this.#client.claim(term)) this.#begin(term, startMs);
   }
 
   #begin(term: number, renewedMs: number): void {
@@ -158,7 +151,7 @@
 
   async #renew(term: number): Promise<void> {
     const startMs = this.#options.clock.nowMs();
-    const renewed = await this.#askGrantor(term, false);
+    const renewed = await this.#client.renew(term);
     if (renewed === true) this.#renewedMs = startMs;
     else if (renewed === false) this.#end();
   }
@@ -169,7 +162,7 @@
     const term = this.#term;
     const balances = this.#end();
     if (term === undefined) return;
-    const released = await this.#askGrantor(term, true);
+    const released = await this.#client.release(term);
     if (released !== true || balances === undefined) return;
     const successor = successorOf(role, membership);
     if (successor === undefined) return;
@@ -179,15 +172,6 @@
     );
   }
 
-  /** Whether the grantor still knows this node's term as the last one granted; undefined without an answer. */
-  async #askGrantor(term: number, release: boolean): Promise<boolean | undefined> {
-    const { finder, role, failureTimeoutMs } = this.#options;
-    const response = await finder
-      .ask(configurationShardName, controllerCalls.renewRole, { role, term, release }, failureTimeoutMs)
-      .catch(() => undefined);
-    return response?.held;
-  }
-
   /** A lease that expired, or a later term that became known, ends the work: its state in memory is no longer the fleet's. */
   #endIfExpired(): void {
     if (this.#term === undefined) return;
