--- a/programs/controller/src/dispatcher/batchRetention.ts
+++ b/programs/controller/src/dispatcher/batchRetention.ts
@@ -17,6 +17,7 @@
     this.#lastRemovalMs = clock.nowMs();
   }
 
+  /** Does nothing until the next removal is due. A shard that does not answer is asked again then. */
   async removeExpired(shards: readonly string[], configuration: Configuration): Promise<void> {
     const { batchKeepMs } = configuration.bounds;
     if (this.#clock.nowMs() - this.#lastRemovalMs < batchKeepMs * periodRatio) return;
--- a/programs/controller/src/dispatcher/claimExecutor.ts
+++ b/programs/controller/src/dispatcher/claimExecutor.ts
@@ -35,6 +35,7 @@
     this.#options = options;
   }
 
+  /** Never rejects: a shard or a front that does not answer leaves leases that are requeued when they are overdue. */
   async execute({ shard, items }: ShardClaim, configuration: Configuration, counter: Counter): Promise<void> {
     const { batches, term, clock, counters, isOver } = this.#options;
     const claims = items.map(({ item, lease }) => ({ ref: item.ref, lease }));
--- a/programs/controller/src/dispatcher/claimPlanner.ts
+++ b/programs/controller/src/dispatcher/claimPlanner.ts
@@ -49,6 +49,7 @@
     return this.#readLimit;
   }
 
+  /** The claims of one tick by shard, each with a new lease number under the term. */
   plan(input: PlanningInput): readonly ShardClaim[] {
     const inFlight = inFlightOf(input);
     const chosen = this.#select(input, inFlight);
--- a/programs/controller/src/dispatcher/dispatchRole.ts
+++ b/programs/controller/src/dispatcher/dispatchRole.ts
@@ -83,6 +83,7 @@
     return this.#holder.resign();
   }
 
+  /** Ends the timers and the work of the role, without releasing it. */
   close(): void {
     this.#offers.close();
     this.#holder.close();
--- a/programs/controller/src/dispatcher/dispatcher.ts
+++ b/programs/controller/src/dispatcher/dispatcher.ts
@@ -96,6 +96,7 @@
     return this.#waiting;
   }
 
+  /** The balances and the use of each quota, for operators; empty until a configuration is known. */
   view(): readonly QuotaView[] {
     return this.#configured.counter?.view() ?? [];
   }
@@ -105,6 +106,7 @@
     return this.#configured.counter?.balances(this.#options.clock.nowMs());
   }
 
+  /** Ends the ticks; one that is under way grants nothing more once the role is lost. */
   close(): void {
     this.#stop();
   }
--- a/programs/controller/src/dispatcher/frontHeartbeats.ts
+++ b/programs/controller/src/dispatcher/frontHeartbeats.ts
@@ -21,6 +21,7 @@
     this.#failureTimeoutMs = failureTimeoutMs;
   }
 
+  /** Notes a quota request of a front, received at `nowMs` of the monotonic clock. */
   record({ front, live, leases }: QuotaRequest, nowMs: number): void {
     this.#heartbeats.set(front, { atMs: nowMs, live, leases: new Set(leases) });
   }
--- a/programs/controller/src/dispatcher/usageLearner.ts
+++ b/programs/controller/src/dispatcher/usageLearner.ts
@@ -26,6 +26,7 @@
     this.#term = term;
   }
 
+  /** Takes the output tokens of one settled run into the mean, and publishes the mean if it has changed enough. */
   learn({ service, outputTokens }: Settlement): void {
     const known = this.#usages.get(service);
     const mean = known === undefined ? outputTokens : known.mean * historyWeight + outputTokens * sampleWeight;
--- a/programs/controller/src/placement/absences.ts
+++ b/programs/controller/src/placement/absences.ts
@@ -41,6 +41,7 @@
     return waits.length > 0 ? Math.min(...waits) : undefined;
   }
 
+  /** Whether a machine has been absent for longer than is tolerated, so that its copies may be placed elsewhere. */
   isLost(name: NodeName): boolean {
     return this.#sinceMs.has(name) && this.#absentMs(name) >= this.#toleratedMs(name);
   }
--- a/programs/controller/src/placement/placementController.ts
+++ b/programs/controller/src/placement/placementController.ts
@@ -66,6 +66,7 @@
     transport.serve(placementCalls.emptied, ({ name }) => replyAsLeader(() => this.#drain.progress(name)));
   }
 
+  /** Cancels the timer; a reconciliation that is under way still ends. */
   close(): void {
     this.#cancelTimer();
   }
--- a/programs/controller/src/replicas/heartbeatExchange.ts
+++ b/programs/controller/src/replicas/heartbeatExchange.ts
@@ -33,6 +33,7 @@
     this.#cancelSend ??= clock.after(collectMs, () => this.#send());
   }
 
+  /** Sends a report, with or without heartbeats, if the last one is a period old. */
   sendIfDue(nowMs: number): void {
     if (nowMs - this.#sentMs >= this.#options.periodMs) this.#send();
   }
--- a/programs/controller/src/replicas/livenessMonitor.ts
+++ b/programs/controller/src/replicas/livenessMonitor.ts
@@ -38,6 +38,7 @@
     this.#checkedMs = options.clock.nowMs();
   }
 
+  /** Starts the periodic checks. */
   start(): void {
     const { clock, checkPeriodMs } = this.#options;
     this.#stop = every(clock, checkPeriodMs, () => this.#check());
--- a/programs/controller/src/replicas/replicaRegistry.ts
+++ b/programs/controller/src/replicas/replicaRegistry.ts
@@ -125,6 +125,7 @@
     return left.length > 0 ? 'taken' : 'unknown';
   }
 
+  /** Ends the timers; what was not yet written to disk is lost. */
   close(): void {
     this.#known.close();
     this.#monitor.close();
--- a/programs/controller/src/roles/roleLeaseGrantor.ts
+++ b/programs/controller/src/roles/roleLeaseGrantor.ts
@@ -34,11 +34,13 @@
     this.#releasedMs.clear();
   }
 
+  /** The holder may act for a whole lease from now on. */
   recordRenewal(role: string): void {
     this.#renewedMs.set(role, this.#options.clock.nowMs());
     this.#releasedMs.delete(role);
   }
 
+  /** The holder has stopped acting on its lease. */
   recordRelease(role: string): void {
     this.#releasedMs.set(role, this.#options.clock.nowMs());
   }
--- a/programs/controller/src/roles/roleLeaseHolder.ts
+++ b/programs/controller/src/roles/roleLeaseHolder.ts
@@ -108,6 +108,7 @@
     return this.#term === nextTerm;
   }
 
+  /** Ends the timers and the work of the role, without releasing it: the lease lapses at the grantor. */
   close(): void {
     for (const stop of this.#stops) stop();
     this.#end();
--- a/programs/controller/src/roles/roleOffers.ts
+++ b/programs/controller/src/roles/roleOffers.ts
@@ -41,6 +41,7 @@
     this.#options = options;
   }
 
+  /** Starts looking for a vacant role. */
   start(): void {
     const { clock, failureTimeoutMs } = this.#options;
     this.#stop = every(clock, failureTimeoutMs / vacancyChecksPerTimeout, () => this.#offerIfVacant());
