--- a/packages/rate-limit/src/balances.ts
+++ b/packages/rate-limit/src/counter/balances.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { QuotaName, Count } from '@pewterlanding/model';
-import { Cost } from './cost.js';
+import { Cost } from '../buckets/cost.js';
 
 const Signed = v.pipe(v.number(), v.finite());
 const Held = v.strictObject({ requests: Signed, tokens: Signed });
--- a/packages/rate-limit/src/counter.ts
+++ b/packages/rate-limit/src/counter/counter.ts
@@ -1,13 +1,13 @@
 import type { QuotaName } from '@pewterlanding/model';
-import { Account } from './account.js';
+import { Account } from '../quotas/account.js';
 import type { Balances } from './balances.js';
-import type { QuotaView } from './quotaView.js';
-import type { Cost } from './cost.js';
+import type { QuotaView } from '../quotas/quotaView.js';
+import type { Cost } from '../buckets/cost.js';
 import type { CounterRules } from './counterRules.js';
-import type { Reservation } from './reservation.js';
-import { shareOf } from './shareOf.js';
-import type { Taken } from './taken.js';
-import { takeBoth } from './takeBoth.js';
+import type { Reservation } from '../reservations/reservation.js';
+import { shareOf } from '../buckets/shareOf.js';
+import type { Taken } from '../buckets/taken.js';
+import { takeBoth } from '../buckets/takeBoth.js';
 
 /** The counter: every branch's purses, on one node, in memory. Each of its steps is synchronous and so atomic. */
 export class Counter {
--- a/packages/rate-limit/src/counterRules.ts
+++ b/packages/rate-limit/src/counter/counterRules.ts
@@ -1,5 +1,5 @@
-import type { QuotaTree } from './quotaTree.js';
-import type { Cost } from './cost.js';
+import type { QuotaTree } from '../quotas/quotaTree.js';
+import type { Cost } from '../buckets/cost.js';
 
 /** What the counter works by; ratios to the fleet's ceiling a minute. */
 export interface CounterRules {
--- a/packages/rate-limit/src/account.ts
+++ b/packages/rate-limit/src/quotas/account.ts
@@ -1,6 +1,6 @@
-import type { Cost } from './cost.js';
-import { LocalAllowance } from './localAllowance.js';
-import { shareOf } from './shareOf.js';
+import type { Cost } from '../buckets/cost.js';
+import { LocalAllowance } from '../buckets/localAllowance.js';
+import { shareOf } from '../buckets/shareOf.js';
 
 interface AccountBounds {
   /** The branch's own share a minute. */
--- a/packages/rate-limit/src/fleetCeiling.ts
+++ b/packages/rate-limit/src/quotas/fleetCeiling.ts
@@ -1,6 +1,6 @@
 import { entriesOf } from '@pewterlanding/model';
 import type { Configuration } from '@pewterlanding/model';
-import type { Cost } from './cost.js';
+import type { Cost } from '../buckets/cost.js';
 
 /** A slot takes at most so many requests in a minute: a shorter one than a tenth of a second is no generation. */
 const turnsPerMinute = 600;
--- a/packages/rate-limit/src/quotaView.ts
+++ b/packages/rate-limit/src/quotas/quotaView.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { QuotaName } from '@pewterlanding/model';
-import { Cost } from './cost.js';
+import { Cost } from '../buckets/cost.js';
 
 const Signed = v.strictObject({ requests: v.number(), tokens: v.number() });
 
--- a/packages/rate-limit/src/reservation.ts
+++ b/packages/rate-limit/src/reservations/reservation.ts
@@ -1,5 +1,5 @@
 import type { QuotaName } from '@pewterlanding/model';
-import type { Cost } from './cost.js';
+import type { Cost } from '../buckets/cost.js';
 
 /** What was taken for one item, and from whose purses. */
 export interface Reservation {
--- a/programs/agent/src/agent.ts
+++ b/programs/agent/src/agent.ts
@@ -4,12 +4,12 @@
 import { every, TransportError } from '@pewterlanding/runtime';
 import { UpdateReader } from '@pewterlanding/membership';
 import type { NodeRecord, Membership, Update } from '@pewterlanding/membership';
-import { agentCalls } from './feed/agentCalls.js';
+import { agentCalls } from './calls/agentCalls.js';
 import type { QuotaRequest } from './calls/quotaRequest.js';
-import { SingletonRole } from './feed/singletonRole.js';
+import { SingletonRole } from './sharedState/singletonRole.js';
 import { agentToControllerCalls } from './calls/agentToControllerCalls.js';
-import { updateKeys } from './feed/updateKeys.js';
-import { ClockReading } from './feed/clockReading.js';
+import { updateKeys } from './sharedState/updateKeys.js';
+import { ClockReading } from './sharedState/clockReading.js';
 import type { Settlement } from './calls/settlement.js';
 
 interface AgentOptions {
--- a/programs/agent/src/feed/agentCalls.ts
+++ b/programs/agent/src/calls/agentCalls.ts
@@ -2,12 +2,12 @@
 import { Count } from '@pewterlanding/model';
 import { defineCall } from '@pewterlanding/runtime';
 import { Update } from '@pewterlanding/membership';
-import { QuotaRequest } from '../calls/quotaRequest.js';
-import { QuotaGrant } from '../calls/quotaGrant.js';
-import { LeaseOffer } from '../calls/leaseOffer.js';
-import { Settlement } from '../calls/settlement.js';
-import { ClockReading } from './clockReading.js';
-import { InFlightByReplica } from './inFlightByReplica.js';
+import { QuotaRequest } from './quotaRequest.js';
+import { QuotaGrant } from './quotaGrant.js';
+import { LeaseOffer } from './leaseOffer.js';
+import { Settlement } from './settlement.js';
+import { ClockReading } from '../sharedState/clockReading.js';
+import { InFlightByReplica } from '../sharedState/inFlightByReplica.js';
 
 const Nothing = v.strictObject({});
 
--- a/programs/agent/src/calls/agentToControllerCalls.ts
+++ b/programs/agent/src/calls/agentToControllerCalls.ts
@@ -4,7 +4,7 @@
 import { QuotaRequest } from './quotaRequest.js';
 import { QuotaGrant } from './quotaGrant.js';
 import { Settlement } from './settlement.js';
-import { ClockReading } from '../feed/clockReading.js';
+import { ClockReading } from '../sharedState/clockReading.js';
 
 const Nothing = v.strictObject({});
 
--- a/programs/agent/src/startAgent.ts
+++ b/programs/agent/src/startAgent.ts
@@ -3,7 +3,7 @@
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Running } from '@pewterlanding/runtime';
 import { Agent } from './agent.js';
-import { updateKeys } from './feed/updateKeys.js';
+import { updateKeys } from './sharedState/updateKeys.js';
 
 interface StartAgentOptions {
   readonly bootSettings: BootSettings;
--- a/programs/store/src/batch/batch.ts
+++ b/programs/store/src/batch/batch.ts
@@ -1,16 +1,16 @@
 import type { ItemId } from '@pewterlanding/model';
-import { dueTimeOf } from '../queue/dueTimeOf.js';
+import { dueTimeOf } from './dueTimeOf.js';
 import type { Item } from './item.js';
 import type { ItemOutcome } from './itemOutcome.js';
 import type { ItemState } from './itemState.js';
-import type { Lease } from './lease.js';
+import type { Lease } from '../leases/lease.js';
 import type { ItemTask } from './itemTask.js';
 import type { BatchOutcomes } from './batchOutcomes.js';
 import type { BatchRecord } from './batchRecord.js';
 import type { BatchReturn } from './batchReturn.js';
 import type { BatchView } from './batchView.js';
 import type { ResultView } from './resultView.js';
-import { sameLease } from './sameLease.js';
+import { sameLease } from '../leases/sameLease.js';
 
 interface Released {
   readonly lease: Lease;
--- a/programs/store/src/queue/dueTimeOf.ts
+++ b/programs/store/src/batch/dueTimeOf.ts
@@ -1,5 +1,5 @@
-import type { Item } from '../batch/item.js';
-import type { BatchRecord } from '../batch/batchRecord.js';
+import type { Item } from './item.js';
+import type { BatchRecord } from './batchRecord.js';
 
 /** Work without a due time is due a day after it was queued: later than any that has one, but never put off for ever. */
 const noDueMs = 86_400_000;
--- a/programs/store/src/batch/item.ts
+++ b/programs/store/src/batch/item.ts
@@ -2,7 +2,7 @@
 import { Count, ItemId } from '@pewterlanding/model';
 import { ItemState } from './itemState.js';
 import { ItemTask } from './itemTask.js';
-import { Lease } from './lease.js';
+import { Lease } from '../leases/lease.js';
 
 /** One item as a shard keeps it. */
 export const Item = v.strictObject({
--- a/programs/store/src/batch/openLease.ts
+++ b/programs/store/src/batch/openLease.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { QuotaName, Count, RouteName, ServiceName } from '@pewterlanding/model';
 import { ItemRef } from './itemRef.js';
-import { Lease } from './lease.js';
+import { Lease } from '../leases/lease.js';
 
 /** A lease that stands for spent budget until its item closes. */
 export const OpenLease = v.strictObject({
--- a/programs/store/src/batch/batchCommand.ts
+++ b/programs/store/src/shard/batchCommand.ts
@@ -1,8 +1,8 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
-import { ItemRef } from './itemRef.js';
-import { Lease } from './lease.js';
-import { BatchRecord } from './batchRecord.js';
+import { ItemRef } from '../batch/itemRef.js';
+import { Lease } from '../leases/lease.js';
+import { BatchRecord } from '../batch/batchRecord.js';
 
 const leased = { ref: ItemRef, lease: Lease };
 
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -37,7 +37,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${store}/batch/batchShard.js`,
+        file: `${store}/shard/batchShard.js`,
         text: 'if (command.lease.term < this.#term && !this.#started(command.ref))',
         instead: 'if (false)',
       },
@@ -257,12 +257,12 @@
     ci: true,
     edits: [
       {
-        file: `${rateLimit}/account.js`,
+        file: `${rateLimit}/quotas/account.js`,
         text: 'this.waiting = new LocalAllowance(shareOf(bounds.rate, bounds.waitingRatio)',
         instead: 'this.waiting = new LocalAllowance(shareOf(bounds.rate, 1)',
       },
       {
-        file: `${rateLimit}/account.js`,
+        file: `${rateLimit}/quotas/account.js`,
         text: 'this.waiting.reshape(shareOf(bounds.rate, bounds.waitingRatio)',
         instead: 'this.waiting.reshape(shareOf(bounds.rate, 1)',
       },
@@ -273,7 +273,7 @@
     rule: "a branch's waiting work overruns its share",
     scenario: 'floodAndMoves',
     seeds: [1, 2, 3],
-    edits: [{ file: `${rateLimit}/account.js`, text: 'const none = { requests: 0, tokens: 0 };', instead: 'const none = bounds.rate;' }],
+    edits: [{ file: `${rateLimit}/quotas/account.js`, text: 'const none = { requests: 0, tokens: 0 };', instead: 'const none = bounds.rate;' }],
   },
   {
     name: 'rumoursAreRefuted',
