--- a/programs/store/src/batch/batchOutcomes.ts
+++ b/programs/store/src/batch/batchOutcomes.ts
@@ -2,6 +2,6 @@
 import { Count } from '@pewterlanding/model';
 import { ItemOutcome } from './itemOutcome.js';
 
-/** Outcomes in order of finishing, from a position on. */
+/** A page of outcomes in order of finishing; `next` is the cursor of the next page. */
 export const BatchOutcomes = v.strictObject({ total: Count, ended: v.boolean(), outcomes: v.array(ItemOutcome), next: Count });
 export type BatchOutcomes = v.InferOutput<typeof BatchOutcomes>;
--- a/programs/store/src/batch/batchRecord.ts
+++ b/programs/store/src/batch/batchRecord.ts
@@ -3,23 +3,23 @@
 import { Item } from './item.js';
 import { BatchRoute } from './batchRoute.js';
 
-/** A lot as a shard keeps it. */
+/** A batch as a shard stores it. */
 export const BatchRecord = v.strictObject({
   id: BatchId,
   quota: QuotaName,
   service: ServiceName,
-  /** Of the body that was handed in, to tell a repeat from a different lot under the same key. */
+  /** Of the submitted body: distinguishes a retry from a different batch under the same idempotency key. */
   bodyHash: v.string(),
   idempotent: v.boolean(),
   createdMs: v.number(),
   endedMs: v.optional(v.number()),
-  /** Expected tokens of an item beyond its input, when the lot was handed in. */
+  /** Expected output tokens of an item, as of the submission. */
   outputTokens: Count,
   bytesPerToken: v.number(),
   items: v.array(Item),
-  /** Places of final items in order of finishing; it only grows. */
+  /** Positions of final items in order of finishing; append-only. */
   order: v.optional(v.array(Count)),
-  /** Of a lot of opaque items. */
+  /** Of a batch of opaque items. */
   route: v.optional(BatchRoute),
 });
 export type BatchRecord = v.InferOutput<typeof BatchRecord>;
--- a/programs/store/src/batch/batchRoute.ts
+++ b/programs/store/src/batch/batchRoute.ts
@@ -1,20 +1,21 @@
 import * as v from 'valibot';
 import { Count, RouteName } from '@pewterlanding/model';
 
-/** What a lot of opaque items keeps of the route it was handed in on. */
+/** What a batch of opaque items stores of the route on which it was submitted. */
 export const BatchRoute = v.strictObject({
   name: RouteName,
   host: v.string(),
-  /** The setup by which it was taken: an older one cannot tell that the route is gone. */
+  /** The configuration version by which it was accepted: an older one can't show that the route was removed. */
   version: Count,
-  /** By the wall clock of the front that took it; orders work, and bounds nothing. */
+  /** By the wall clock of the front that accepted it; used to order work only, never for a time limit. */
   sentMs: v.number(),
+  /** Its results are due so many ms after `sentMs`. */
   dueMs: v.optional(Count),
-  /** So long after it was sent its items may be given up. */
+  /** Retention, ms: items that are not final by then fail. */
   retainMs: v.optional(Count),
-  /** So long after it was sent it is kept at least. */
+  /** A finished batch is kept for at least so many ms. */
   keepMs: Count,
-  /** So many answers of 500 and an item is given up. */
+  /** An item fails after so many responses of 500. */
   attempts: Count,
 });
 export type BatchRoute = v.InferOutput<typeof BatchRoute>;
--- a/programs/store/src/batch/batchView.ts
+++ b/programs/store/src/batch/batchView.ts
@@ -1,16 +1,17 @@
 import * as v from 'valibot';
 import { QuotaName, Count, BatchId, ServiceName } from '@pewterlanding/model';
 
-/** A lot as callers see it. */
+/** A batch as callers see it. */
 export const BatchView = v.strictObject({
   id: BatchId,
   quota: QuotaName,
   service: ServiceName,
-  /** Of what was handed in: tells a repeat from another lot under the same key. */
+  /** Of the submitted body: distinguishes a retry from a different batch under the same idempotency key. */
   bodyHash: v.string(),
   createdMs: v.number(),
   ended: v.boolean(),
   items: Count,
+  /** Items by state. */
   counts: v.record(v.string(), Count),
 });
 export type BatchView = v.InferOutput<typeof BatchView>;
--- a/programs/store/src/batch/item.ts
+++ b/programs/store/src/batch/item.ts
@@ -2,23 +2,23 @@
 import { Count, ItemId } from '@pewterlanding/model';
 import { ItemState } from './itemState.js';
 import { ItemTask } from './itemTask.js';
-import { Lease } from '../leases/lease.js';
+import { Lease } from '../leases/index.js';
 
-/** One item as a shard keeps it. */
+/** One item as a shard stores it; times by the wall clock, ms. */
 export const Item = v.strictObject({
   id: ItemId,
   /** Of an item that is not opaque. */
   input: v.string(),
-  /** Of an opaque item, until it is final: then nobody needs its bytes any more. */
+  /** The request of an opaque item, deleted once the item is final. */
   task: v.optional(ItemTask),
-  /** Tokens that its downstream stated: prompt and most out. */
+  /** Tokens that its client stated: prompt and maximum output. */
   tokens: v.optional(Count),
   state: ItemState,
   queuedAtMs: v.number(),
-  /** Budget-limited items wait until then. */
+  /** Not dispatched before: set when the quota refused it. */
   notBeforeMs: v.number(),
   attempts: Count,
-  /** Runs that a replica ended with 500. */
+  /** Runs that a replica answered with 500. */
   failures: v.optional(Count),
   lease: v.optional(Lease),
   /** Written once, when the item closes. */
--- a/programs/store/src/batch/itemTask.ts
+++ b/programs/store/src/batch/itemTask.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 
-/** What an opaque item sends to a replica. */
+/** The request that an opaque item sends to a replica. */
 export const ItemTask = v.strictObject({
   path: v.string(),
   headers: v.record(v.string(), v.string()),
--- a/programs/store/src/batch/openLease.ts
+++ b/programs/store/src/batch/openLease.ts
@@ -1,9 +1,9 @@
 import * as v from 'valibot';
 import { QuotaName, Count, RouteName, ServiceName } from '@pewterlanding/model';
 import { ItemRef } from './itemRef.js';
-import { Lease } from '../leases/lease.js';
+import { Lease } from '../leases/index.js';
 
-/** A lease that stands for spent budget until its item closes. */
+/** A lease whose item has not closed: its tokens stay reserved with the quota. */
 export const OpenLease = v.strictObject({
   ref: ItemRef,
   lease: Lease,
--- a/programs/store/src/batch/resultView.ts
+++ b/programs/store/src/batch/resultView.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { Count, ItemId } from '@pewterlanding/model';
 
-/** An item's final word. */
+/** A final item's result as callers see it. */
 export const ResultView = v.strictObject({
   id: ItemId,
   position: Count,
--- /dev/null
+++ b/programs/store/src/leases/index.ts
@@ -0,0 +1,3 @@
+export * from './lease.js';
+export * from './leaseKey.js';
+export * from './sameLease.js';
--- a/programs/store/src/main.ts
+++ b/programs/store/src/main.ts
@@ -2,14 +2,14 @@
 import meow from 'meow';
 import { runProgram } from '@pewterlanding/runtime';
 import { startStore } from './startStore.js';
-import { statusHttp } from './service/statusHttp.js';
+import { statusHttp } from './service/index.js';
 
 const cli = meow(
   `
   Usage
     $ store --boot FILE [--name N --zone Z --listen IP:PORT --http IP:PORT --seeds IP:PORT,... --data-folder DIR]
 
-  A store machine: keeps parts of lots under its data folder. --http serves its status.
+  A store node: keeps batch shards under its data folder. --http serves its status.
   Flags win over the boot file.
 `,
   { importMeta: import.meta, flags: runProgram.flags },
--- /dev/null
+++ b/programs/store/src/protocol/index.ts
@@ -0,0 +1,1 @@
+export * from './storeCalls.js';
--- /dev/null
+++ b/programs/store/src/queue/index.ts
@@ -0,0 +1,2 @@
+export * from './queuedItem.js';
+export * from './queuedItems.js';
--- /dev/null
+++ b/programs/store/src/reads/index.ts
@@ -0,0 +1,1 @@
+export * from './longPollReads.js';
--- a/programs/store/src/reads/longPollReads.ts
+++ b/programs/store/src/reads/longPollReads.ts
@@ -1,11 +1,11 @@
 import type { BatchId } from '@pewterlanding/model';
 import type { Clock } from '@pewterlanding/runtime';
 
-/** Reads that wait at the leader for a lot's next outcome: woken by it, or over after their time. */
+/** Long polls that wait at the leader for a batch's next outcome, or for their timeout. */
 export class LongPollReads {
   readonly #clock: Clock;
   readonly #limit: number;
-  readonly #held = new Map<BatchId, Set<() => void>>();
+  readonly #waiting = new Map<BatchId, Set<() => void>>();
   #count = 0;
 
   constructor(clock: Clock, limit: number) {
@@ -17,26 +17,26 @@
     return this.#count;
   }
 
-  /** Over the bound a read is not held at all: it is answered with what is there. */
+  /** Resolves at the next `wake` of the batch or after `holdMs`; at once if as many reads as the limit wait already. */
   hold(batch: BatchId, holdMs: number): Promise<void> {
     if (this.#count >= this.#limit || holdMs <= 0) return Promise.resolve();
     return new Promise((resolve) => {
-      const held = this.#held.get(batch) ?? new Set();
-      this.#held.set(batch, held);
+      const waiting = this.#waiting.get(batch) ?? new Set();
+      this.#waiting.set(batch, waiting);
       this.#count += 1;
       const over = (): void => {
         cancel();
-        if (!held.delete(over)) return;
+        if (!waiting.delete(over)) return;
         this.#count -= 1;
-        if (held.size === 0 && this.#held.get(batch) === held) this.#held.delete(batch);
+        if (waiting.size === 0 && this.#waiting.get(batch) === waiting) this.#waiting.delete(batch);
         resolve();
       };
       const cancel = this.#clock.after(holdMs, over);
-      held.add(over);
+      waiting.add(over);
     });
   }
 
   wake(batch: BatchId): void {
-    for (const over of [...(this.#held.get(batch) ?? [])]) over();
+    for (const over of [...(this.#waiting.get(batch) ?? [])]) over();
   }
 }
--- a/programs/store/src/service/announceGroup.ts
+++ b/programs/store/src/service/announceGroup.ts
@@ -2,7 +2,7 @@
 import { ShardMap } from '@pewterlanding/consensus';
 import type { Membership } from '@pewterlanding/membership';
 
-/** A leader tells all who sits in its shard, when that changed or a later epoch tells it. */
+/** Publishes the members of a shard that is led here in the shared state, if they or the leader's term changed. */
 export function announceGroup<C, R>(membership: Membership, member: Member<C, R>): void {
   const key = ShardMap.groupKey(member.shard);
   const known = membership.stateTable.get(key);
--- /dev/null
+++ b/programs/store/src/service/index.ts
@@ -0,0 +1,3 @@
+export * from './announceGroup.js';
+export * from './batchStore.js';
+export * from './statusHttp.js';
--- a/programs/store/src/service/statusHttp.ts
+++ b/programs/store/src/service/statusHttp.ts
@@ -3,7 +3,7 @@
 import { addressParts } from '@pewterlanding/model';
 import type { Address } from '@pewterlanding/model';
 
-/** One page: what this process is and has counted. */
+/** Serves `/status`: what this process runs and its counters, as JSON. */
 export async function statusHttp(address: Address, status: () => Promise<unknown>): Promise<FastifyInstance> {
   const app = Fastify({ forceCloseConnections: true });
   app.get('/status', async () => status());
--- /dev/null
+++ b/programs/store/src/shard/index.ts
@@ -0,0 +1,2 @@
+export * from './batchCommand.js';
+export * from './batchShard.js';
--- a/programs/store/src/startStore.ts
+++ b/programs/store/src/startStore.ts
@@ -3,16 +3,16 @@
 import { Counters, exitOnFatalError, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Running } from '@pewterlanding/runtime';
-import { BatchStore } from './service/batchStore.js';
+import { BatchStore } from './service/index.js';
 
 interface StartStoreOptions {
   readonly bootSettings: BootSettings;
   readonly dataFolder: string;
-  /** What operators reach, where the boot names an address for it; returns how to end it. */
+  /** Serves the status page, if the boot file names an address for it. */
   readonly serve?: (address: Address, status: () => Promise<unknown>) => Promise<{ readonly close: () => Promise<unknown> }>;
 }
 
-/** A store machine put together and listening. */
+/** Starts a store node and resolves once it listens. */
 export async function startStore({ bootSettings, dataFolder, serve }: StartStoreOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
@@ -41,7 +41,7 @@
   await transport.listen();
   timeline.reach('listening');
   timeline.await('first peer heard', () => membership.live().length > 1);
-  // A shard's leader tells its members to all as it begins to lead.
+  // A new leader publishes its shard's members in the shared state.
   timeline.await('shard leader known', () => !membership.stateTable.withPrefix(ShardMap.groupKey('lots-')).next().done);
   timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
   membership.onUpdate(() => timeline.look());
--- a/programs/store/test/opaqueBatches.test.ts
+++ b/programs/store/test/opaqueBatches.test.ts
@@ -136,17 +136,17 @@
     expect(words()).toEqual(['l0 abandoned ', 'l1 abandoned ']);
     run({ kind: 'abandon', refs: [ref(2)], version: 3 });
     at.nowMs = 500;
-    expect(shard.aged()).toEqual({ expired: [], kept: [] });
+    expect(shard.aged()).toEqual({ expired: [], droppable: [] });
     at.nowMs = 501;
-    expect(shard.aged()).toEqual({ expired: [id()], kept: [] });
+    expect(shard.aged()).toEqual({ expired: [id()], droppable: [] });
     run({ kind: 'expire', batches: [id()] });
     expect(words()?.length).toEqual(5);
     // Its results stay as long as they must, by the leader's own clock.
     run({ kind: 'forget', beforeMs: 1e15 });
     at.nowMs = 9000;
-    expect(shard.aged().kept).toEqual([]);
+    expect(shard.aged().droppable).toEqual([]);
     at.nowMs = 9001;
-    expect(shard.aged().kept).toEqual([id()]);
+    expect(shard.aged().droppable).toEqual([id()]);
     run({ kind: 'drop', batches: [id()] });
     expect(shard.batches.size).toEqual(0);
   });
