--- a/programs/store/test/batchShard.test.ts
+++ b/programs/store/test/batchShard.test.ts
@@ -1,39 +1,17 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import * as v from 'valibot';
-import { BatchCommand, BatchShard } from '../src/index.js';
+import { BatchShard } from '../src/index.js';
+import { shardWithBatch } from './support/shardWithBatch.js';
 
 const lease = (term: number, number: number) => ({ term, number, front: 'f' });
 const ref = (position: number) => ({ batch: 'l', position });
 
-/** A shard with one lot of three items, handed in at 1000. */
-function shardWith(idempotent: boolean): { readonly shard: BatchShard; readonly run: (raw: unknown) => ReturnType<BatchShard['apply']> } {
-  const shard = new BatchShard();
-  const run = (raw: unknown): ReturnType<BatchShard['apply']> => shard.apply(v.parse(BatchCommand, raw));
-  const items = ['a', 'b', 'c'].map((id) => ({ id, input: '"x"', state: 'QUEUED', queuedAtMs: 1000, notBeforeMs: 0, attempts: 0 }));
-  run({
-    kind: 'submit',
-    batch: {
-      id: 'l',
-      quota: 'north',
-      service: 'tag',
-      bodyHash: 'h',
-      idempotent,
-      createdMs: 1000,
-      outputTokens: 10,
-      bytesPerToken: 4,
-      items,
-    },
-  });
-  return { shard, run };
-}
-
 const states = (shard: BatchShard): readonly string[] =>
   [...shard.batches.values()].flatMap((batch) => batch.record.items.map((item) => item.state));
 
-describe('a part of lots', () => {
-  it('claims once, under the newest epoch, and starts nothing of an older one', () => {
-    const { shard, run } = shardWith(true);
+describe('BatchShard', () => {
+  it('claims once, under the newest term, and starts nothing of an older one', () => {
+    const { shard, run } = shardWithBatch(true);
     expect(run({ kind: 'claim', term: 2, claims: [{ ref: ref(0), lease: lease(2, 1) }] }).claimed?.length).toEqual(1);
     expect(run({ kind: 'claim', term: 2, claims: [{ ref: ref(0), lease: lease(2, 2) }] }).claimed).toEqual([]);
     expect(run({ kind: 'claim', term: 1, claims: [{ ref: ref(1), lease: lease(1, 9) }] })).toEqual({
@@ -46,11 +24,11 @@
     expect(run({ kind: 'start', ref: ref(0), lease: lease(2, 1) })).toEqual({ done: false, reason: 'term' });
   });
 
-  it('writes a result once, and discards what comes late under another lease', () => {
-    const { shard, run } = shardWith(true);
+  it('writes a result once, and refuses a late one under another lease', () => {
+    const { shard, run } = shardWithBatch(true);
     run({ kind: 'claim', term: 1, claims: [{ ref: ref(0), lease: lease(1, 1) }] });
     run({ kind: 'start', ref: ref(0), lease: lease(1, 1) });
-    // The front is thought lost, the item runs again elsewhere; then the first front wakes.
+    // The front counts as lost and the item runs again elsewhere; then the first front closes after all.
     run({ kind: 'lost', ref: ref(0), lease: lease(1, 1) });
     run({ kind: 'claim', term: 1, claims: [{ ref: ref(0), lease: lease(1, 2) }] });
     expect(run({ kind: 'close', ref: ref(0), lease: lease(1, 1), state: 'COMPLETED', result: '"late"' })).toEqual({
@@ -63,23 +41,23 @@
     expect([...shard.batches.values()][0]?.results(0, 9).results.map((result) => result.result)).toEqual(['"right"']);
   });
 
-  it('never runs again what may not be repeated and may have run', () => {
-    const { shard, run } = shardWith(false);
+  it('never queues again what is not idempotent and may have run', () => {
+    const { shard, run } = shardWithBatch(false);
     run({ kind: 'claim', term: 1, claims: [0, 1].map((position) => ({ ref: ref(position), lease: lease(1, position) })) });
     run({ kind: 'start', ref: ref(0), lease: lease(1, 0) });
     for (const position of [0, 1]) run({ kind: 'lost', ref: ref(position), lease: lease(1, position) });
     expect(states(shard)).toEqual(['FAILED', 'QUEUED', 'QUEUED']);
   });
 
-  it('starts nothing of an ended lot, lets what runs run on, and counts tries of the budget alone', () => {
-    const { shard, run } = shardWith(true);
+  it('starts nothing of an ended batch, lets running items finish, and counts only refusals by the quota as attempts', () => {
+    const { shard, run } = shardWithBatch(true);
     run({ kind: 'claim', term: 1, claims: [0, 1].map((position) => ({ ref: ref(position), lease: lease(1, position) })) });
     run({ kind: 'start', ref: ref(0), lease: lease(1, 0) });
     run({ kind: 'end', batch: 'l', atMs: 2000 });
     expect(run({ kind: 'start', ref: ref(1), lease: lease(1, 1) })).toEqual({ done: false, reason: 'ended' });
     expect(run({ kind: 'close', ref: ref(0), lease: lease(1, 0), state: 'COMPLETED', result: '1' })).toEqual({ done: true });
     expect(states(shard)).toEqual(['COMPLETED', 'ENDED', 'ENDED']);
-    const other = shardWith(true);
+    const other = shardWithBatch(true);
     for (let number = 0; number < 4; number += 1) {
       other.run({ kind: 'claim', term: 1, claims: [{ ref: ref(0), lease: lease(1, number) }] });
       other.run({ kind: 'release', ref: ref(0), lease: lease(1, number), notBeforeMs: 0, tried: number > 0, maxAttempts: 2 });
@@ -87,8 +65,8 @@
     expect(states(other.shard)).toEqual(['FAILED', 'QUEUED', 'QUEUED']);
   });
 
-  it('is the same after a digest, and forgets only lots that are final and old', () => {
-    const { shard, run } = shardWith(true);
+  it('is the same after a snapshot, and forgets only batches that are finished and old', () => {
+    const { shard, run } = shardWithBatch(true);
     run({ kind: 'claim', term: 4, claims: [{ ref: ref(1), lease: lease(4, 1) }] });
     const copy = new BatchShard();
     copy.restore(shard.snapshot());
