--- /dev/null
+++ b/packages/rate-limit/src/buckets/addCost.ts
@@ -0,0 +1,5 @@
+import type { Cost } from './cost.js';
+
+export function addCost(a: Cost, b: Cost): Cost {
+  return { requests: a.requests + b.requests, tokens: a.tokens + b.tokens };
+}
--- a/packages/rate-limit/src/buckets/bucket.ts
+++ b/packages/rate-limit/src/buckets/bucket.ts
@@ -1,6 +1,11 @@
+/** Rates are per minute. */
 const windowMs = 60_000;
 
-/** One bucket of the source: tokens, last refill, a limit and a refill rate a minute. Tokens may be in debt after a settlement. */
+/**
+ * One token bucket of "Rate-limited batch orchestration": capacity `limit`, refill `rate` a minute, times in ms.
+ * Its balance may be negative after a settlement. The traps that it avoids: a refill that drops fractions of a unit, a balance above
+ * the limit, a division by a rate of 0, and a change of bounds that pays out time at the new rate.
+ */
 export class Bucket {
   #limit: number;
   #rate: number;
@@ -22,33 +27,36 @@
     return this.#limit;
   }
 
+  /** Adds the whole units that are due since the last refill. */
   refill(nowMs: number): void {
     const elapsedMs = nowMs - this.#lastRefillMs;
     const refill = Math.floor((elapsedMs * this.#rate) / windowMs);
     if (refill <= 0) return;
     this.#tokens = Math.min(this.#limit, this.#tokens + refill);
-    // Only the time that the whole units stand for has been paid out; dropping the rest would starve frequent callers.
+    // Advances only by the time of the whole units: to drop the remainder would starve frequent callers.
     this.#lastRefillMs += (refill * windowMs) / this.#rate;
   }
 
-  /** How long until `cost` could be taken. */
+  /** ms until `cost` could be taken; a whole window if the bucket never refills. */
   retryAfterMs(cost: number): number {
     if (this.#tokens >= cost) return 0;
     return this.#rate === 0 ? windowMs : Math.ceil(((cost - this.#tokens) * windowMs) / this.#rate);
   }
 
+  /** Takes without a check, into debt if need be. */
   take(cost: number): void {
     this.#tokens -= cost;
   }
 
+  /** Returns units, up to the limit. */
   put(returned: number): void {
     this.#tokens = Math.min(this.#limit, this.#tokens + returned);
   }
 
-  /** Takes new bounds, paying out the old rate first. What is held never grows by it. */
+  /** Sets new bounds after a refill at the old rate. The balance never grows by it. */
   reshape(limit: number, rate: number, nowMs: number): void {
     this.refill(nowMs);
-    // The same bounds again must not cost the fraction of a unit that is under way.
+    // The same bounds again must not drop the fraction of a unit that has accrued.
     if (limit === this.#limit && rate === this.#rate) return;
     this.#limit = limit;
     this.#rate = rate;
--- a/packages/rate-limit/src/buckets/localAllowance.ts
+++ b/packages/rate-limit/src/buckets/localAllowance.ts
@@ -1,17 +1,17 @@
 import { Bucket } from './bucket.js';
 import type { Cost } from './cost.js';
 
-/** The two buckets that belong together: requests and tokens. */
+/** A pair of buckets that are taken from together: requests and tokens. Rates are per minute. */
 export class LocalAllowance {
   readonly requests: Bucket;
   readonly tokens: Bucket;
 
-  constructor(limit: Cost, rate: Cost, held: Cost, nowMs: number) {
-    this.requests = new Bucket(limit.requests, rate.requests, held.requests, nowMs);
-    this.tokens = new Bucket(limit.tokens, rate.tokens, held.tokens, nowMs);
+  constructor(limit: Cost, rate: Cost, balance: Cost, nowMs: number) {
+    this.requests = new Bucket(limit.requests, rate.requests, balance.requests, nowMs);
+    this.tokens = new Bucket(limit.tokens, rate.tokens, balance.tokens, nowMs);
   }
 
-  /** What it holds now; a debt is below nothing. */
+  /** The balances; negative in debt. */
   get held(): { readonly requests: number; readonly tokens: number } {
     return { requests: this.requests.tokens, tokens: this.tokens.tokens };
   }
@@ -21,6 +21,7 @@
     this.tokens.refill(nowMs);
   }
 
+  /** ms until both buckets could pay the cost. */
   retryAfterMs(cost: Cost): number {
     return Math.max(this.requests.retryAfterMs(cost.requests), this.tokens.retryAfterMs(cost.tokens));
   }
--- a/packages/rate-limit/src/counter/balances.ts
+++ b/packages/rate-limit/src/counter/balances.ts
@@ -1,14 +1,17 @@
 import * as v from 'valibot';
 import { QuotaName, Count } from '@pewterlanding/model';
-import { Cost } from '../buckets/cost.js';
+import { Cost } from '../buckets/index.js';
 
 const Signed = v.pipe(v.number(), v.finite());
-const Held = v.strictObject({ requests: Signed, tokens: Signed });
+const Balance = v.strictObject({ requests: Signed, tokens: Signed });
 
-/** What a counter that stops hands to the next one: what its purses hold, what is reserved, and how long ago each front was heard. */
+/** The state that a counter which stops transfers to the next one. Sent between nodes, so its field names are fixed. */
 export const Balances = v.strictObject({
-  purses: v.array(v.strictObject({ quota: QuotaName, main: Held, waiting: Held })),
+  /** Bucket balances by quota; negative in debt. */
+  purses: v.array(v.strictObject({ quota: QuotaName, main: Balance, waiting: Balance })),
+  /** Open reservations. */
   open: v.array(v.strictObject({ id: v.string(), quota: QuotaName, from: QuotaName, cost: Cost })),
+  /** ms since each front was heard; clocks of two nodes have no common zero. */
   fronts: v.array(v.strictObject({ front: v.string(), ageMs: Count })),
 });
 export type Balances = v.InferOutput<typeof Balances>;
--- a/packages/rate-limit/src/counter/counter.ts
+++ b/packages/rate-limit/src/counter/counter.ts
@@ -1,165 +1,114 @@
 import type { QuotaName } from '@pewterlanding/model';
-import { Account } from '../quotas/account.js';
+import { shareOf, takeBoth } from '../buckets/index.js';
+import type { Cost, Taken } from '../buckets/index.js';
+import { Lending } from '../lending/index.js';
+import { QuotaAccounts } from '../quotas/index.js';
+import type { CounterRules, QuotaView } from '../quotas/index.js';
+import { Reservations } from '../reservations/index.js';
+import { ActiveFronts } from './activeFronts.js';
 import type { Balances } from './balances.js';
-import type { QuotaView } from '../quotas/quotaView.js';
-import type { Cost } from '../buckets/cost.js';
-import type { CounterRules } from './counterRules.js';
-import type { Reservation } from '../reservations/reservation.js';
-import { shareOf } from '../buckets/shareOf.js';
-import type { Taken } from '../buckets/taken.js';
-import { takeBoth } from '../buckets/takeBoth.js';
+import { grantByHalving } from './grantByHalving.js';
 
-/** The counter: every branch's purses, on one node, in memory. Each of its steps is synchronous and so atomic. */
+/** Retry delay for a quota that this counter doesn't know. */
+const unknownQuotaRetryMs = 60_000;
+
+/**
+ * The fleet's rate limiter: every quota's buckets, on one node, in memory. Each method is synchronous and so atomic.
+ * All times are ms by one monotonic clock; costs are requests and tokens, rates are per minute.
+ */
 export class Counter {
-  #rules: CounterRules;
-  readonly #accounts = new Map<QuotaName, Account>();
-  readonly #reservations = new Map<string, Reservation>();
-  readonly #fronts = new Map<string, number>();
-  readonly #needMs = new Map<QuotaName, number>();
-  #waiting: ReadonlySet<QuotaName> = new Set();
-  #lendable: Cost = { requests: 0, tokens: 0 };
-  /** How far down its lenders each borrower has got in this tick: those before have nothing left. */
-  readonly #reached = new Map<QuotaName, number>();
-  #looks = 0;
-  #held = -1;
+  readonly #accounts: QuotaAccounts;
+  readonly #reservations: Reservations;
+  readonly #lending: Lending;
+  readonly #fronts = new ActiveFronts();
+  /** Part of the fronts that was not heard when the accounts were last sized; undefined before that. */
+  #unheardRatio: number | undefined;
 
   constructor(rules: CounterRules, nowMs: number) {
-    this.#rules = rules;
-    this.reshape(rules, nowMs);
+    this.#accounts = new QuotaAccounts(rules);
+    this.#reservations = new Reservations(this.#accounts);
+    this.#lending = new Lending(this.#accounts);
+    this.watch(nowMs);
   }
 
-  /** Takes a new setup. New branches start empty, pruned ones are forgotten. */
+  /** Takes a new configuration: new quotas start empty, removed ones are deleted. */
   reshape(rules: CounterRules, nowMs: number): void {
-    this.#rules = rules;
-    this.#held = -1;
-    for (const name of this.#accounts.keys()) if (!rules.tree.has(name)) this.#accounts.delete(name);
+    this.#accounts.replaceRules(rules);
+    this.#unheardRatio = undefined;
     this.watch(nowMs);
   }
 
   heard(front: string, nowMs: number): void {
-    this.#fronts.set(front, nowMs);
+    this.#fronts.heard(front, nowMs);
   }
 
-  /** Holds back the fixed slices of all fronts that are not heard, before they begin to use them. */
+  /** Subtracts the fallback allowances of all fronts that are not heard from the shares, before those fronts begin to use them. */
   watch(nowMs: number): void {
-    for (const [front, heardMs] of this.#fronts) if (nowMs - heardMs > this.#rules.frontSilenceMs) this.#fronts.delete(front);
-    const unheard = Math.max(0, this.#rules.fronts - this.#fronts.size) / this.#rules.fronts;
-    if (unheard === this.#held) return;
-    this.#held = unheard;
-    const ratio = 1 - unheard * this.#rules.fallbackRatio;
-    for (const name of this.#rules.tree.names()) {
-      const rate = shareOf(this.#rules.ceiling, this.#rules.tree.ownShare(name) * ratio);
-      const bounds = { rate, waitingRatio: this.#rules.waitingRatio, liveRatio: this.#rules.liveRatio };
-      const account = this.#accounts.get(name);
-      if (account === undefined) this.#accounts.set(name, new Account(bounds, nowMs));
-      else account.reshape(bounds, nowMs);
-    }
+    const { frontSilenceMs, fronts, fallbackRatio } = this.#accounts.rules;
+    this.#fronts.removeSilent(frontSilenceMs, nowMs);
+    const unheardRatio = Math.max(0, fronts - this.#fronts.count) / fronts;
+    if (unheardRatio === this.#unheardRatio) return;
+    this.#unheardRatio = unheardRatio;
+    this.#accounts.resize(1 - unheardRatio * fallbackRatio, nowMs);
   }
 
-  /** Begins a tick: tells which branches have waiting work, for those lend nothing, and works out once what the others lend. */
+  /** Begins a dispatch tick: quotas in `waiting` have waiting work and lend nothing; what the others lend is summed up once. */
   tick(waiting: ReadonlySet<QuotaName>, nowMs: number): void {
-    this.#waiting = waiting;
-    this.#reached.clear();
-    this.#lendable = { requests: 0, tokens: 0 };
-    for (const [name, account] of this.#accounts) {
-      this.#looks += 1;
-      if (!this.#lends(name, nowMs)) continue;
-      const room = roomOf(account, nowMs);
-      this.#lendable = { requests: this.#lendable.requests + room.requests, tokens: this.#lendable.tokens + room.tokens };
-    }
+    this.#lending.beginTick(waiting, nowMs);
   }
 
-  /** How many accounts were looked at; what a tick costs grows with this. */
+  /** Accounts inspected so far; a measure of what ticks cost. */
   get looks(): number {
-    return this.#looks;
+    return this.#lending.looks;
   }
 
-  /** Reserves for one item of waiting work, from its own branch or from one that lends. */
+  /** Reserves for one item of waiting work, from its own quota or from one that lends. A repeat for the same id succeeds at no cost. */
   reserve(id: string, quota: QuotaName, cost: Cost, nowMs: number): Taken {
     if (this.#reservations.has(id)) return { ok: true };
     const own = this.#accounts.get(quota);
-    if (own === undefined) return { ok: false, retryAfterMs: 60_000 };
+    if (own === undefined) return { ok: false, retryAfterMs: unknownQuotaRetryMs };
     const taken = takeBoth([own.waiting, own.main], cost, nowMs);
-    if (taken.ok) {
-      this.#keep(id, { quota, from: quota, cost }, own);
-      return taken;
-    }
-    const lenders = this.#rules.tree.lenders(quota);
-    for (let at = this.#reached.get(quota) ?? 0; at < lenders.length; at += 1) {
-      this.#looks += 1;
-      const from = lenders[at];
-      const lender = from === undefined ? undefined : this.#accounts.get(from);
-      // The lender's waiting purse bounds the loan, so most of its live room stays its own.
-      if (
-        from !== undefined &&
-        from !== quota &&
-        lender !== undefined &&
-        this.#lends(from, nowMs) &&
-        takeBoth([lender.waiting, lender.main], cost, nowMs).ok
-      ) {
-        this.#keep(id, { quota, from, cost }, own);
-        lender.lent = plus(lender.lent, cost);
-        own.borrowed = plus(own.borrowed, cost);
-        return { ok: true };
-      }
-      // What has nothing now has nothing for the rest of this tick.
-      this.#reached.set(quota, at + 1);
-    }
-    return taken;
+    const from = taken.ok ? quota : this.#lending.borrow(quota, cost, nowMs);
+    if (from === undefined) return taken;
+    this.#reservations.add(id, { quota, from, cost });
+    return { ok: true };
   }
 
-  /** Puts a reservation in debt without asking: what a takeover finds leased already. */
+  /** Reserves without a check, into debt if need be: for leases that a new counter finds open. */
   charge(id: string, quota: QuotaName, cost: Cost): void {
     const account = this.#accounts.get(quota);
     if (account === undefined || this.#reservations.has(id)) return;
-    account.main.take(cost);
-    account.waiting.take(cost);
-    this.#keep(id, { quota, from: quota, cost }, account);
+    account.charge(cost);
+    this.#reservations.add(id, { quota, from: quota, cost });
   }
 
-  /** The item did not run: all of it goes back. */
+  /** The item did not run: its whole cost goes back. */
   refund(id: string): void {
-    const reservation = this.#reservations.get(id);
-    if (reservation === undefined) return;
-    this.#reservations.delete(id);
-    this.#put(reservation.from, reservation.cost);
-    const own = this.#accounts.get(reservation.quota);
-    if (own !== undefined) own.used = plus(own.used, reservation.cost, -1);
+    this.#reservations.refund(id);
   }
 
-  /** The item ran: the difference between estimate and use is settled, into debt if need be. */
+  /** The item ran and used so many tokens: the difference to its estimate is returned, or taken into debt. */
   settle(id: string, tokens: number): void {
-    const reservation = this.#reservations.get(id);
-    if (reservation === undefined) return;
-    this.#reservations.delete(id);
-    this.#put(reservation.from, { requests: 0, tokens: reservation.cost.tokens - tokens });
-    const own = this.#accounts.get(reservation.quota);
-    if (own !== undefined) own.used = plus(own.used, { requests: 0, tokens: tokens - reservation.cost.tokens });
+    this.#reservations.settle(id, tokens);
   }
 
-  /** A lease that closed without a word: the estimate stays spent. */
+  /** The lease closed without a settlement: the estimate stays spent. */
   forget(id: string): void {
-    this.#reservations.delete(id);
+    this.#reservations.forget(id);
   }
 
   /** All that the next counter needs to go on where this one stops. */
   balances(nowMs: number): Balances {
-    for (const account of this.#accounts.values()) {
-      account.main.refill(nowMs);
-      account.waiting.refill(nowMs);
-    }
+    const accounts = [...this.#accounts.all()];
+    for (const [, account] of accounts) account.refill(nowMs);
     return {
-      purses: [...this.#accounts].map(([quota, account]) => ({
-        quota,
-        main: { ...account.main.held },
-        waiting: { ...account.waiting.held },
-      })),
-      open: [...this.#reservations].map(([id, reservation]) => ({ id, ...reservation })),
-      fronts: [...this.#fronts].map(([front, heardMs]) => ({ front, ageMs: Math.ceil(nowMs - heardMs) })),
+      purses: accounts.map(([quota, { main, waiting }]) => ({ quota, main: main.held, waiting: waiting.held })),
+      open: [...this.#reservations.all()].map(([id, reservation]) => ({ id, ...reservation })),
+      fronts: [...this.#fronts.all()].map(([front, heardMs]) => ({ front, ageMs: Math.ceil(nowMs - heardMs) })),
     };
   }
 
-  /** Begins with what the counter before it held. Reservations are known by it already, and are not charged again when leases are read. */
+  /** Begins with the balances of the counter before it. Its reservations are known by that, so `charge` does not take them again. */
   adopt(balances: Balances, nowMs: number): void {
     for (const { front, ageMs } of balances.fronts) this.heard(front, nowMs - ageMs);
     this.watch(nowMs);
@@ -168,99 +117,59 @@
       account?.main.put(main);
       account?.waiting.put(waiting);
     }
-    for (const { id, ...reservation } of balances.open) this.#reservations.set(id, reservation);
+    for (const { id, ...reservation } of balances.open) this.#reservations.restore(id, reservation);
   }
 
+  /** The quota's own share of the fleet, 0 to 1. */
   shareOf(quota: QuotaName): number {
-    return this.#rules.tree.ownShare(quota);
+    return this.#accounts.rules.tree.ownShare(quota);
   }
 
+  /** Ids of the open reservations. */
   open(): readonly string[] {
-    return [...this.#reservations.keys()];
+    return [...this.#reservations.all().keys()];
   }
 
-  /** Draws a prepaid slice for live work: as much of `wish` as is there, by halves, but never less than `least`. */
-  draw(quota: QuotaName, desired: Cost, minimum: Cost, nowMs: number): { readonly granted: Cost; readonly retryAfterMs: number } {
+  /** Grants a front an allowance for live work: `desired`, or by halves what is there, but at least `minimum` or else nothing. */
+  draw(quota: QuotaName, desired: Cost, minimum: Cost, nowMs: number): ReturnType<typeof grantByHalving> {
     const account = this.#accounts.get(quota);
-    if (account === undefined) return { granted: { requests: 0, tokens: 0 }, retryAfterMs: 60_000 };
-    this.#needMs.set(quota, nowMs);
-    for (let cost = desired; cost.requests >= minimum.requests && cost.tokens >= minimum.tokens; cost = shareOf(cost, 0.5)) {
-      if (cost.requests === 0 && cost.tokens === 0) break;
-      if (!takeBoth([account.main], cost, nowMs).ok) continue;
-      account.used = plus(account.used, cost);
-      return { granted: cost, retryAfterMs: 0 };
-    }
-    const taken = takeBoth([account.main], minimum, nowMs);
-    if (!taken.ok) return { granted: { requests: 0, tokens: 0 }, retryAfterMs: taken.retryAfterMs };
-    account.used = plus(account.used, minimum);
-    return { granted: minimum, retryAfterMs: 0 };
+    if (account === undefined) return { granted: { requests: 0, tokens: 0 }, retryAfterMs: unknownQuotaRetryMs };
+    this.#lending.noteLiveNeed(quota, nowMs);
+    const grant = grantByHalving(account.main, desired, minimum, nowMs);
+    account.addUsed(grant.granted);
+    return grant;
   }
 
-  /** Gives back what a front did not use, or takes what it used beyond its estimates. */
+  /** Returns what a front did not use; negative for what it used beyond its estimates. */
   correct(quota: QuotaName, returned: { readonly requests: number; readonly tokens: number }): void {
     const account = this.#accounts.get(quota);
     if (account === undefined) return;
     account.main.put(returned);
-    account.used = plus(account.used, returned, -1);
+    account.subtractUsed(returned);
   }
 
-  /** How many items of about this cost the branch could reserve now; the tick's token capacity. */
+  /** How many items of about this cost the quota could reserve now: the bound of one tick. */
   capacity(quota: QuotaName, cost: Cost, nowMs: number): number {
     const account = this.#accounts.get(quota);
-    if (account === undefined) return 0;
-    this.#looks += 1;
-    return itemsIn(roomOf(account, nowMs), cost) + itemsIn(this.#lendable, cost);
+    return account === undefined ? 0 : this.#lending.capacity(account, cost, nowMs);
   }
 
-  /** The most tokens that a branch's waiting work can ever hold at once. */
+  /** Capacity of the token bucket for a quota's waiting work: an item with a higher estimate could never be reserved. */
   maxTokens(quota: QuotaName): number {
     const account = this.#accounts.get(quota);
-    return account === undefined ? 0 : shareOf(account.rate, this.#rules.waitingRatio).tokens;
+    return account === undefined ? 0 : shareOf(account.rate, this.#accounts.rules.waitingRatio).tokens;
   }
 
   view(): readonly QuotaView[] {
-    return [...this.#accounts].map(([quota, account]) => ({
+    const { tree, waitingRatio } = this.#accounts.rules;
+    return [...this.#accounts.all()].map(([quota, { used, lent, borrowed, rate, main }]) => ({
       quota,
-      share: this.#rules.tree.ownShare(quota),
-      used: account.used,
-      lent: account.lent,
-      borrowed: account.borrowed,
-      waitingLimit: shareOf(account.rate, this.#rules.waitingRatio),
-      held: { requests: account.main.requests.tokens, tokens: account.main.tokens.tokens },
+      share: tree.ownShare(quota),
+      used,
+      lent,
+      borrowed,
+      waitingLimit: shareOf(rate, waitingRatio),
+      held: main.held,
     }));
   }
-
-  #lends(from: QuotaName, nowMs: number): boolean {
-    const neededMs = this.#needMs.get(from);
-    return !this.#waiting.has(from) && (neededMs === undefined || nowMs - neededMs > this.#rules.frontSilenceMs);
-  }
-
-  #keep(id: string, reservation: Reservation, own: Account): void {
-    this.#reservations.set(id, reservation);
-    own.used = plus(own.used, reservation.cost);
-  }
-
-  #put(from: QuotaName, returned: Cost): void {
-    const account = this.#accounts.get(from);
-    account?.main.put(returned);
-    account?.waiting.put(returned);
-  }
-}
-
-/** What waiting work may take of an account now. */
-function roomOf(account: Account, nowMs: number): Cost {
-  account.main.refill(nowMs);
-  account.waiting.refill(nowMs);
-  const { main, waiting } = account;
-  const room = (a: number, b: number): number => Math.max(0, Math.min(a, b));
-  return { requests: room(main.held.requests, waiting.held.requests), tokens: room(main.held.tokens, waiting.held.tokens) };
-}
-
-function itemsIn(room: Cost, cost: Cost): number {
-  const items = (held: number, need: number): number => (need === 0 ? Number.MAX_SAFE_INTEGER : Math.floor(held / need));
-  return Math.min(items(room.requests, cost.requests), items(room.tokens, cost.tokens));
-}
-
-function plus(a: Cost, b: Cost, sign: 1 | -1 = 1): Cost {
-  return { requests: a.requests + sign * b.requests, tokens: a.tokens + sign * b.tokens };
 }
--- /dev/null
+++ b/packages/rate-limit/src/counter/index.ts
@@ -0,0 +1,2 @@
+export * from './balances.js';
+export * from './counter.js';
--- /dev/null
+++ b/packages/rate-limit/src/lending/index.ts
@@ -0,0 +1,1 @@
+export * from './lending.js';
--- /dev/null
+++ b/packages/rate-limit/src/reservations/index.ts
@@ -0,0 +1,2 @@
+export * from './reservation.js';
+export * from './reservations.js';
--- a/packages/rate-limit/test/balances.test.ts
+++ b/packages/rate-limit/test/balances.test.ts
@@ -1,11 +1,9 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { check, QuotaName } from '@pewterlanding/model';
 import { QuotaTree, Counter } from '../src/index.js';
+import { quotaName } from './support/quotaName.js';
 
-const read = check(QuotaName, 'a');
-if (!read.ok) throw new Error('a');
-const a = read.value;
+const a = quotaName('a');
 const tree = new QuotaTree(new Map([[a, { share: 1, lends: true }]]));
 const rules = {
   ceiling: { requests: 600, tokens: 60_000 },
@@ -25,7 +23,7 @@
   return taken;
 }
 
-describe('the balances of a counter', () => {
+describe('Balances of a Counter', () => {
   it('bound a minute over any number of moves as one counter would', () => {
     let counter = new Counter(rules, 0);
     counter.heard('f', 0);
@@ -40,7 +38,7 @@
       next.adopt(counter.balances(nowMs), nowMs);
       counter = next;
     }
-    // Ten moves or none: a minute's share, and at most the waiting purse above it.
+    // Ten moves or none: a minute's share, and at most the burst of waiting work above it.
     expect([taken > 570, taken <= 660]).toEqual([true, true]);
   });
 
--- a/packages/rate-limit/test/quotaTree.test.ts
+++ b/packages/rate-limit/test/quotaTree.test.ts
@@ -1,29 +1,27 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import * as v from 'valibot';
-import { QuotaName } from '@pewterlanding/model';
 import { QuotaTree } from '../src/index.js';
+import { quotaName } from './support/quotaName.js';
 
-const named = (text: string): QuotaName => v.parse(QuotaName, text);
 const under = (parent: string | undefined, share: number, lends = true) => ({
   share,
   lends,
-  ...(parent === undefined ? {} : { parent: named(parent) }),
+  ...(parent === undefined ? {} : { parent: quotaName(parent) }),
 });
 
-describe('lenders', () => {
+describe('QuotaTree lenders', () => {
   const tree = new QuotaTree(
     new Map([
-      [named('east'), under(undefined, 0.5)],
-      [named('west'), under(undefined, 0.5)],
-      [named('east-a'), under('east', 0.4)],
-      [named('east-b'), under('east', 0.4)],
-      [named('east-b1'), under('east-b', 0.5)],
-      [named('east-c'), under('east', 0.1, false)],
-      [named('west-a'), under('west', 0.9)],
+      [quotaName('east'), under(undefined, 0.5)],
+      [quotaName('west'), under(undefined, 0.5)],
+      [quotaName('east-a'), under('east', 0.4)],
+      [quotaName('east-b'), under('east', 0.4)],
+      [quotaName('east-b1'), under('east-b', 0.5)],
+      [quotaName('east-c'), under('east', 0.1, false)],
+      [quotaName('west-a'), under('west', 0.9)],
     ]),
   );
-  const lenders = (name: string): readonly string[] => tree.lenders(named(name)).filter((one) => one !== name);
+  const lenders = (name: string): readonly string[] => tree.lenders(quotaName(name)).filter((one) => one !== name);
 
   it('are the nearest relatives first, and only those that lend', () => {
     expect(lenders('east-a')).toEqual(['east', 'east-b', 'east-b1', 'west', 'west-a']);
@@ -32,7 +30,7 @@
     expect(lenders('west')).toEqual(['west-a', 'east', 'east-a', 'east-b', 'east-b1']);
   });
 
-  it('are one list for all children of a branch', () => {
-    expect(tree.lenders(named('east-a')) === tree.lenders(named('east-c'))).toEqual(true);
+  it('are one list for all children of a quota', () => {
+    expect(tree.lenders(quotaName('east-a')) === tree.lenders(quotaName('east-c'))).toEqual(true);
   });
 });
