--- a/packages/rate-limit/src/buckets/bucket.ts
+++ b/packages/rate-limit/src/buckets/bucket.ts
@@ -3,8 +3,8 @@
 
 /**
  * One token bucket of "Rate-limited batch orchestration": capacity `limit`, refill `rate` a minute, times in ms.
- * Its balance may be negative after a settlement. The traps that it avoids: a refill that drops fractions of a unit, a balance above
- * the limit, a division by a rate of 0, and a change of bounds that pays out time at the new rate.
+ * Its balance may be negative after a settlement, never above the limit. Fractions of a unit are not lost between refills, and a
+ * change of bounds pays out the time before it at the old rate.
  */
 export class Bucket {
   #limit: number;
--- a/programs/agent/src/calls/settlement.ts
+++ b/programs/agent/src/calls/settlement.ts
@@ -2,7 +2,7 @@
 import { Count, ServiceName } from '@pewterlanding/model';
 import { ItemRef, Lease } from '@pewterlanding/store';
 
-/** How a lease ended, for the counter: what it used, or nothing if it did not run. */
+/** How a lease ended, for the counter: the tokens that it used, or that it did not run and is to be refunded. */
 export const Settlement = v.strictObject({
   ref: ItemRef,
   lease: Lease,
--- /dev/null
+++ b/programs/agent/src/feed/index.ts
@@ -0,0 +1,1 @@
+export * from './proxyFeed.js';
--- /dev/null
+++ b/programs/agent/src/relay/index.ts
@@ -0,0 +1,1 @@
+export * from './controllerRelay.js';
--- /dev/null
+++ b/programs/agent/src/reports/index.ts
@@ -0,0 +1,3 @@
+export * from './freshnessRequester.js';
+export * from './joiningPhase.js';
+export * from './proxyStatusReporter.js';
--- a/programs/agent/src/sharedState/freshnessGrant.ts
+++ b/programs/agent/src/sharedState/freshnessGrant.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
 
-/** The setup leader's word that this version is the newest. For each front alone goes the stamp that was had from it before. */
+/** The configuration leader's confirmation that this version is the newest; each front gets its own last clock reading with it. */
 export const FreshnessGrant = v.strictObject({ version: Count });
 export type FreshnessGrant = v.InferOutput<typeof FreshnessGrant>;
--- a/programs/agent/src/sharedState/inFlightByReplica.ts
+++ b/programs/agent/src/sharedState/inFlightByReplica.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { Count } from '@pewterlanding/model';
 
-/** Tasks a front has under way, by replica address. */
+/** A front's tasks in flight, by replica address. */
 export const InFlightByReplica = v.record(v.string(), Count);
 export type InFlightByReplica = v.InferOutput<typeof InFlightByReplica>;
--- a/programs/agent/src/sharedState/replica.ts
+++ b/programs/agent/src/sharedState/replica.ts
@@ -7,13 +7,13 @@
   address: Address,
   zone: v.optional(ZoneName),
   slots: v.pipe(Count, v.minValue(1)),
-  /** Orders the words of one address, or of one life where it has one. */
+  /** Orders the announcements of one address, or of one instance where it has one. */
   incarnation: Count,
-  /** The name of this life of the replica; another life at the same address is another replica. */
+  /** Names one life of the replica process; another one at the same address is another replica. */
   instance: v.optional(v.pipe(v.string(), v.regex(/^[\x21-\x7e]{1,128}$/))),
   /** Models it serves. */
   models: v.optional(v.array(v.string())),
-  /** `silent`: controllers have not heard it for so long that it is taken to be gone. */
+  /** `silent`: controllers have not heard it for so long that it counts as gone. */
   state: v.picklist(['serving', 'leaving', 'silent']),
 });
 export type Replica = v.InferOutput<typeof Replica>;
--- a/programs/agent/src/startAgent.ts
+++ b/programs/agent/src/startAgent.ts
@@ -3,7 +3,7 @@
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Running } from '@pewterlanding/runtime';
 import { Agent } from './agent.js';
-import { updateKeys } from './sharedState/updateKeys.js';
+import { updateKeys } from './sharedState/index.js';
 
 interface StartAgentOptions {
   readonly bootSettings: BootSettings;
@@ -11,7 +11,7 @@
   readonly beside: Address;
 }
 
-/** A agent put together and listening. */
+/** Starts an agent and resolves once it listens. */
 export async function startAgent({ bootSettings, beside }: StartAgentOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
@@ -35,7 +35,7 @@
   membership.onUpdate(() => timeline.look());
   return {
     leave: async (graceMs) => {
-      // The proxy gets the same signal and needs its news until it has finished.
+      // The proxy gets the same signal, and needs updates until it has finished.
       const untilMs = clock.nowMs() + graceMs;
       while (clock.nowMs() < untilMs && agent.proxyHeard && !agent.left) await pause(clock, 50);
       membership.leave();
