--- a/packages/rate-limit/src/quotas/counterRules.ts
+++ b/packages/rate-limit/src/quotas/counterRules.ts
@@ -1,4 +1,4 @@
-import type { QuotaTree } from '../quotas/index.js';
+import type { QuotaTree } from './quotaTree.js';
 import type { Cost } from '../buckets/index.js';
 
 /** The configuration of a counter; ratios are of a minute's share. */
--- a/programs/store/src/startStore.ts
+++ b/programs/store/src/startStore.ts
@@ -1,5 +1,6 @@
 import { ShardMap } from '@pewterlanding/consensus';
 import { startMembership } from '@pewterlanding/membership';
+import type { Membership } from '@pewterlanding/membership';
 import { Counters, exitOnFatalError, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Running } from '@pewterlanding/runtime';
@@ -40,27 +41,29 @@
   });
   await transport.listen();
   timeline.reach('listening');
-  timeline.await('first peer heard', () => membership.live().length > 1);
-  // A new leader publishes its shard's members in the shared state.
-  timeline.await('shard leader known', () => !membership.stateTable.withPrefix(ShardMap.groupKey('lots-')).next().done);
-  timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
-  membership.onUpdate(() => timeline.look());
-  const status =
-    bootSettings.http === undefined
-      ? undefined
-      : await serve?.(bootSettings.http, async () => ({
-          name: bootSettings.name,
-          shards: (await store.shards()).map(({ member }) => member.view()),
-          startup: timeline.stages(),
-          counters: counters.all(),
-        }));
+  awaitStages(timeline, membership);
+  const status = async (): Promise<unknown> => ({
+    name: bootSettings.name,
+    shards: (await store.shards()).map(({ member }) => member.view()),
+    startup: timeline.stages(),
+    counters: counters.all(),
+  });
+  const served = bootSettings.http === undefined ? undefined : await serve?.(bootSettings.http, status);
   return {
     leave: async () => {
       await store.leave();
       await pause(clock, 50);
       store.close();
-      await status?.close();
+      await served?.close();
       transport.close();
     },
   };
 }
+
+function awaitStages(timeline: StartupTimeline, membership: Membership): void {
+  timeline.await('first peer heard', () => membership.live().length > 1);
+  // A new leader publishes its shard's members in the shared state.
+  timeline.await('shard leader known', () => !membership.stateTable.withPrefix(ShardMap.groupKey('lots-')).next().done);
+  timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
+  membership.onUpdate(() => timeline.look());
+}
