--- a/programs/store/src/startStore.ts
+++ b/programs/store/src/startStore.ts
@@ -3,7 +3,7 @@
 import type { Membership } from '@pewterlanding/membership';
 import { Counters, exitOnFatalError, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
-import type { BootSettings, Running } from '@pewterlanding/runtime';
+import type { BootSettings, Clock, Running } from '@pewterlanding/runtime';
 import { BatchStore } from './service/index.js';
 
 interface StartStoreOptions {
@@ -20,13 +20,7 @@
   const log = nodeLog(`${bootSettings.name}/store`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const transport = new TcpTransport({
-    here: bootSettings.advertise ?? bootSettings.listen,
-    listen: bootSettings.listen,
-    fleet: bootSettings.fleet,
-    clock,
-    counters,
-  });
+  const transport = transportOf(bootSettings, clock, counters);
   const membership = startMembership(bootSettings, 'store', { clock, transport, counters, log });
   const bounds = { failureTimeoutMs: bootSettings.failureTimeoutMs, compactBytes: 16 << 20 };
   const store = new BatchStore({
@@ -67,3 +61,7 @@
   timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
   membership.onUpdate(() => timeline.look());
 }
+
+function transportOf({ advertise, listen, fleet }: BootSettings, clock: Clock, counters: Counters): TcpTransport {
+  return new TcpTransport({ here: advertise ?? listen, listen, fleet, clock, counters });
+}
