--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -273,7 +273,9 @@
     rule: "a branch's waiting work overruns its share",
     scenario: 'floodAndMoves',
     seeds: [1, 2, 3],
-    edits: [{ file: `${rateLimit}/quotas/account.js`, text: 'const none = { requests: 0, tokens: 0 };', instead: 'const none = bounds.rate;' }],
+    edits: [
+      { file: `${rateLimit}/quotas/account.js`, text: 'const none = { requests: 0, tokens: 0 };', instead: 'const none = bounds.rate;' },
+    ],
   },
   {
     name: 'rumoursAreRefuted',
