--- a/packages/rate-limit/src/taken.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What the atomic step says. */
-export type Taken = { readonly ok: true } | { readonly ok: false; readonly retryAfterMs: number };
--- a/programs/store/src/startStore.ts
+++ b/programs/store/src/startStore.ts
@@ -1,31 +1,26 @@
 import { ShardMap } from '@pewterlanding/consensus';
 import { startMembership } from '@pewterlanding/membership';
+import type { Membership } from '@pewterlanding/membership';
 import { Counters, exitOnFatalError, nodeLog, NodeDisk, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
-import type { BootSettings, Running } from '@pewterlanding/runtime';
-import { BatchStore } from './service/batchStore.js';
+import type { BootSettings, Clock, Running } from '@pewterlanding/runtime';
+import { BatchStore } from './service/index.js';
 
 interface StartStoreOptions {
   readonly bootSettings: BootSettings;
   readonly dataFolder: string;
-  /** What operators reach, where the boot names an address for it; returns how to end it. */
+  /** Serves the status page, if the boot file names an address for it. */
   readonly serve?: (address: Address, status: () => Promise<unknown>) => Promise<{ readonly close: () => Promise<unknown> }>;
 }
 
-/** A store machine put together and listening. */
+/** Starts a store node and resolves once it listens. */
 export async function startStore({ bootSettings, dataFolder, serve }: StartStoreOptions): Promise<Running> {
   const clock = new SystemClock();
   const counters = new Counters();
   const log = nodeLog(`${bootSettings.name}/store`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const transport = new TcpTransport({
-    here: bootSettings.advertise ?? bootSettings.listen,
-    listen: bootSettings.listen,
-    fleet: bootSettings.fleet,
-    clock,
-    counters,
-  });
+  const transport = transportOf(bootSettings, clock, counters);
   const membership = startMembership(bootSettings, 'store', { clock, transport, counters, log });
   const bounds = { failureTimeoutMs: bootSettings.failureTimeoutMs, compactBytes: 16 << 20 };
   const store = new BatchStore({
@@ -40,27 +35,33 @@
   });
   await transport.listen();
   timeline.reach('listening');
-  timeline.await('first peer heard', () => membership.live().length > 1);
-  // A shard's leader tells its members to all as it begins to lead.
-  timeline.await('shard leader known', () => !membership.stateTable.withPrefix(ShardMap.groupKey('lots-')).next().done);
-  timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
-  membership.onUpdate(() => timeline.look());
-  const status =
-    bootSettings.http === undefined
-      ? undefined
-      : await serve?.(bootSettings.http, async () => ({
-          name: bootSettings.name,
-          shards: (await store.shards()).map(({ member }) => member.view()),
-          startup: timeline.stages(),
-          counters: counters.all(),
-        }));
+  awaitStages(timeline, membership);
+  const status = async (): Promise<unknown> => ({
+    name: bootSettings.name,
+    shards: (await store.shards()).map(({ member }) => member.view()),
+    startup: timeline.stages(),
+    counters: counters.all(),
+  });
+  const served = bootSettings.http === undefined ? undefined : await serve?.(bootSettings.http, status);
   return {
     leave: async () => {
       await store.leave();
       await pause(clock, 50);
       store.close();
-      await status?.close();
+      await served?.close();
       transport.close();
     },
   };
 }
+
+function awaitStages(timeline: StartupTimeline, membership: Membership): void {
+  timeline.await('first peer heard', () => membership.live().length > 1);
+  // A new leader publishes its shard's members in the shared state.
+  timeline.await('shard leader known', () => !membership.stateTable.withPrefix(ShardMap.groupKey('lots-')).next().done);
+  timeline.await('configuration held', () => membership.stateTable.get(ShardMap.key) !== undefined);
+  membership.onUpdate(() => timeline.look());
+}
+
+function transportOf({ advertise, listen, fleet }: BootSettings, clock: Clock, counters: Counters): TcpTransport {
+  return new TcpTransport({ here: advertise ?? listen, listen, fleet, clock, counters });
+}
