--- a/testing/simulator/src/sim/disruption.ts
+++ b/testing/simulator/src/sim/disruption.ts
@@ -1,7 +1,8 @@
 import type { CutMode } from './cutMode.js';
 import type { ReplicaTrouble } from './replicaTrouble.js';
 import type { SimReplica } from './simReplica.js';
-import type { SimRun } from './simRun.js';
+import type { SimEnvironment } from './simEnvironment.js';
+import type { SimOperators } from './simOperators.js';
 
 /** No change takes longer than an operator's word may, twice: to plan and to confirm. */
 const maxChangeMs = 30_000;
@@ -11,44 +12,46 @@
 
 /** What faults are made of. Each act ends by itself after the time that it is given. */
 export class Disruption {
-  readonly run: SimRun;
+  readonly environment: SimEnvironment;
+  readonly operators: SimOperators;
   /** How long a machine counts as lost after its return: the deployments' bound, as a ratio to the silence of simulated fleets. */
   readonly catchUpMs = 4100;
 
-  constructor(run: SimRun) {
-    this.run = run;
+  constructor(environment: SimEnvironment, operators: SimOperators) {
+    this.environment = environment;
+    this.operators = operators;
   }
 
   span(fromMs: number, toMs: number): number {
-    return fromMs + this.run.fleet.random() * (toMs - fromMs);
+    return fromMs + this.environment.fleet.random() * (toMs - fromMs);
   }
 
   chance(ratio: number): boolean {
-    return this.run.fleet.random() < ratio;
+    return this.environment.fleet.random() < ratio;
   }
 
   /** A part of some things, at least one. */
   some<T>(all: readonly T[], ratio: number): readonly T[] {
     const chosen = all.filter(() => this.chance(ratio));
-    return chosen.length > 0 || all.length === 0 ? chosen : [this.run.pick(all)];
+    return chosen.length > 0 || all.length === 0 ? chosen : [this.environment.pick(all)];
   }
 
   /** The machines that hold copies. */
   keepers(): readonly string[] {
-    return [...this.run.machines('controller'), ...this.run.machines('store')];
+    return [...this.environment.machines('controller'), ...this.environment.machines('store')];
   }
 
   everybody(): readonly string[] {
-    return [...this.run.fleet.hosts.keys()];
+    return [...this.environment.fleet.hosts.keys()];
   }
 
   /** The replicas that serve now. */
   replicas(): readonly SimReplica[] {
-    return [...this.run.fleet.replicas.values()].filter((replica) => !replica.instance.dead);
+    return [...this.environment.fleet.replicas.values()].filter((replica) => !replica.instance.dead);
   }
 
   replicasOf(service: string): readonly SimReplica[] {
-    return [...this.run.fleet.replicas.values()].filter((replica) => service in replica.services);
+    return [...this.environment.fleet.replicas.values()].filter((replica) => service in replica.services);
   }
 
   /** A replica ends in the middle of what it does, and is back a moment later. */
@@ -60,7 +63,7 @@
 
   /** Cuts a machine off from all others but those named, until the network heals. */
   cutFrom(name: string, but: readonly string[] = []): void {
-    const { net } = this.run.fleet;
+    const { net } = this.environment.fleet;
     for (const other of this.everybody()) {
       if (other === name || but.includes(other)) continue;
       net.cut(name, other);
@@ -69,55 +72,55 @@
   }
 
   cutMode(): CutMode {
-    return this.run.pick(cutModes);
+    return this.environment.pick(cutModes);
   }
 
   /** Counts machines that hold copies as lost for a while and until they have caught up; false where that is too many. */
   lose(names: readonly string[], forMs: number): boolean {
-    return this.run.losses.lose(names, forMs + this.catchUpMs);
+    return this.environment.losses.lose(names, forMs + this.catchUpMs);
   }
 
   /** True when all machines that hold copies may go at once, their disks staying: none is lost or has yet to catch up. */
   loseAll(forMs: number): boolean {
     // Until then nothing else that counts is added to it.
-    return this.run.losses.loseAll(this.keepers(), forMs + this.catchUpMs);
+    return this.environment.losses.loseAll(this.keepers(), forMs + this.catchUpMs);
   }
 
   /** What strikes later finds only what is still there. */
   #present(name: string): boolean {
-    return this.run.fleet.hosts.has(name);
+    return this.environment.fleet.hosts.has(name);
   }
 
   kill(name: string, backMs: number): void {
     if (!this.#present(name)) return;
-    this.run.fleet.kill(name);
-    this.run.restart(name, backMs);
+    this.environment.fleet.kill(name);
+    this.environment.restart(name, backMs);
   }
 
   powerOff(name: string, backMs: number): void {
     if (!this.#present(name)) return;
-    this.run.fleet.powerOff(name);
-    this.run.restart(name, backMs);
+    this.environment.fleet.powerOff(name);
+    this.environment.restart(name, backMs);
   }
 
   /** The machine comes back with an empty disk. */
   wipe(name: string, backMs: number): void {
     if (!this.#present(name)) return;
-    this.run.fleet.powerOff(name);
-    this.run.fleet.host(name).disk.lose();
-    this.run.restart(name, backMs);
+    this.environment.fleet.powerOff(name);
+    this.environment.fleet.host(name).disk.lose();
+    this.environment.restart(name, backMs);
   }
 
   freeze(name: string, forMs: number): void {
-    const { machine } = this.run.fleet.host(name);
+    const { machine } = this.environment.fleet.host(name);
     machine.freeze();
-    this.run.later(forMs, () => machine.wake());
+    this.environment.later(forMs, () => machine.wake());
   }
 
   slow(name: string, ratio: number, forMs: number): void {
-    const { machine } = this.run.fleet.host(name);
+    const { machine } = this.environment.fleet.host(name);
     machine.slowRatio = ratio;
-    this.run.later(forMs, () => {
+    this.environment.later(forMs, () => {
       machine.slowRatio = 1;
     });
   }
@@ -130,7 +133,7 @@
     mode: CutMode = 'silent',
     way: 'both' | 'in' | 'out' = 'both',
   ): void {
-    const { net } = this.run.fleet;
+    const { net } = this.environment.fleet;
     const mends: (() => void)[] = [];
     for (const name of names) {
       for (const other of others) {
@@ -139,7 +142,7 @@
         if (way !== 'in') mends.push(net.cut(name, other, mode));
       }
     }
-    this.run.later(forMs, () => mends.forEach((mend) => mend()));
+    this.environment.later(forMs, () => mends.forEach((mend) => mend()));
   }
 
   /** Cuts a machine that holds copies from everybody, if that may be. */
@@ -153,15 +156,15 @@
   /** The fleet knows of the end of this life after a while. */
   ends(replica: SimReplica, afterMs: number): void {
     const { instance } = replica;
-    this.run.later(afterMs, () => {
+    this.environment.later(afterMs, () => {
       if (replica.instance === instance)
-        this.run.fleet.note({ type: 'replicaEnds', atMs: this.run.fleet.time.nowMs, replica: replica.address });
+        this.environment.fleet.note({ type: 'replicaEnds', atMs: this.environment.fleet.time.nowMs, replica: replica.address });
     });
   }
 
   back(replica: SimReplica, afterMs: number): void {
-    this.run.later(afterMs, () => {
-      if (replica.instance.dead) this.run.fleet.startReplica(replica, () => this.run.traffic.front().proxy);
+    this.environment.later(afterMs, () => {
+      if (replica.instance.dead) this.environment.fleet.startReplica(replica, () => this.environment.traffic.front().proxy);
     });
   }
 
@@ -174,22 +177,22 @@
 
   /** A replica says that it leaves; from the taking of its word on, nothing may reach it for long. It ends after `noticeMs`. */
   leave(replica: SimReplica, noticeMs: number, backMs: number): void {
-    const { proxy } = this.run.traffic.front();
+    const { proxy } = this.environment.traffic.front();
     replica.announcing = false;
-    if (!this.run.fleet.announce(replica, replica.incarnation, 'leaving', proxy)) {
+    if (!this.environment.fleet.announce(replica, replica.incarnation, 'leaving', proxy)) {
       replica.announcing = true;
       return;
     }
     const { instance } = replica;
     this.ends(replica, 0);
-    this.run.later(noticeMs, () => instance.end());
+    this.environment.later(noticeMs, () => instance.end());
     this.back(replica, backMs);
   }
 
   /** Something is wrong with a replica for a while. */
   trouble(replica: SimReplica, trouble: ReplicaTrouble, forMs: number): void {
     replica.trouble = trouble;
-    this.run.later(forMs, () => {
+    this.environment.later(forMs, () => {
       if (replica.trouble === trouble) replica.trouble = undefined;
     });
   }
@@ -197,36 +200,36 @@
   /** A replica says for a while that it has so many times the room that it has. */
   overclaim(replica: SimReplica, ratio: number, forMs: number): void {
     replica.claimRatio = ratio;
-    this.run.later(forMs, () => {
+    this.environment.later(forMs, () => {
       replica.claimRatio = 1;
     });
   }
 
   /** Two replicas that serve different services. */
   pairOfServices(): readonly SimReplica[] {
-    const one = this.run.pick(this.replicas());
+    const one = this.environment.pick(this.replicas());
     const others = this.replicas().filter(({ services }) => services !== one.services);
-    return others.length === 0 ? [] : [one, this.run.pick(others)];
+    return others.length === 0 ? [] : [one, this.environment.pick(others)];
   }
 
   /** One more replica like another, at an address of its own, if there is one left. */
   addReplica(like: SimReplica): void {
-    const replica = this.run.newReplica(like);
-    if (replica !== undefined) this.run.fleet.startReplica(replica, () => this.run.traffic.front().proxy);
+    const replica = this.environment.newReplica(like);
+    if (replica !== undefined) this.environment.fleet.startReplica(replica, () => this.environment.traffic.front().proxy);
   }
 
   /** The date of some machines jumps, and back after a while. */
   stepClocks(share: number, stepMs: number, forMs: number): void {
-    const machines = this.some([...this.run.fleet.hosts.values()], share).map(({ machine }) => machine);
+    const machines = this.some([...this.environment.fleet.hosts.values()], share).map(({ machine }) => machine);
     for (const machine of machines) machine.steppedMs += stepMs;
-    this.run.later(forMs, () => {
+    this.environment.later(forMs, () => {
       for (const machine of machines) machine.steppedMs -= stepMs;
     });
   }
 
   /** From now on the settings name three controllers that are there, in an order drawn anew. */
   turnSeeds(): void {
-    const { fleet } = this.run;
+    const { fleet } = this.environment;
     const drawn = fleet.named('controller').map(({ address }) => ({ address, order: fleet.random() }));
     fleet.seeds = drawn
       .sort((a, b) => a.order - b.order)
@@ -244,10 +247,10 @@
 
   /** What became of a change; whoever was asked may be gone before saying so. */
   #outcomeOf(part: Record<string, unknown>): Promise<string> {
-    return Promise.race([this.run.operate({ part }), this.#wait(maxChangeMs).then(() => 'unknown')]);
+    return Promise.race([this.environment.operate({ part }), this.#wait(maxChangeMs).then(() => 'unknown')]);
   }
 
   #wait(waitMs: number): Promise<void> {
-    return new Promise((resolve) => this.run.later(waitMs, resolve));
+    return new Promise((resolve) => this.environment.later(waitMs, resolve));
   }
 }
--- a/testing/simulator/src/sim/faults/cutFaults.ts
+++ b/testing/simulator/src/sim/faults/cutFaults.ts
@@ -4,18 +4,18 @@
 
 /** The network is cut, loses messages, or has its connections reset. */
 export const cutFaults: Readonly<Record<string, SimFault>> = {
-  isolateController: { act: (d) => d.isolate(d.run.pick(d.run.machines('controller'))) },
-  isolateStore: { act: (d) => d.isolate(d.run.pick(d.run.machines('store'))) },
+  isolateController: { act: (d) => d.isolate(d.environment.pick(d.environment.machines('controller'))) },
+  isolateStore: { act: (d) => d.isolate(d.environment.pick(d.environment.machines('store'))) },
   isolateFront: {
     act: (d) => {
-      d.cut([d.run.pick(d.run.machines('front'))], d.everybody(), d.span(...partsMs), d.cutMode());
+      d.cut([d.environment.pick(d.environment.machines('front'))], d.everybody(), d.span(...partsMs), d.cutMode());
       return true;
     },
   },
   /** One controller machine hears the others, which do not hear it; or the other way round. */
   oneWayCut: {
     act: (d) => {
-      const deaf = d.run.pick(d.run.machines('controller'));
+      const deaf = d.environment.pick(d.environment.machines('controller'));
       const forMs = d.span(...partsMs);
       if (!d.lose([deaf], forMs)) return false;
       d.cut([deaf], d.everybody(), forMs, 'silent', d.chance(0.5) ? 'in' : 'out');
@@ -25,7 +25,7 @@
   /** A machine that holds copies is cut from the others that do, while fronts still reach all of them. */
   keeperCut: {
     act: (d) => {
-      const name = d.run.pick(d.keepers());
+      const name = d.environment.pick(d.keepers());
       const forMs = d.span(2000, 12_000);
       if (!d.lose([name], forMs)) return false;
       d.cut([name], d.keepers(), forMs, d.cutMode());
@@ -34,7 +34,7 @@
   },
   keeperCutOneWay: {
     act: (d) => {
-      const name = d.run.pick(d.keepers());
+      const name = d.environment.pick(d.keepers());
       const forMs = d.span(2000, 12_000);
       if (!d.lose([name], forMs)) return false;
       d.cut([name], d.keepers(), forMs, 'silent', d.chance(0.5) ? 'in' : 'out');
@@ -44,7 +44,7 @@
   /** The machine that leads the configuration, cut from the others that hold copies. */
   leaderCut: {
     act: (d) => {
-      const name = d.run.configurationLeader();
+      const name = d.environment.configurationLeader();
       const forMs = d.span(4000, 20_000);
       if (!d.lose([name], forMs)) return false;
       d.cut([name], d.keepers(), forMs, d.cutMode());
@@ -54,7 +54,7 @@
   /** The machine that dispatches, cut from the others that hold copies. */
   dispatcherCut: {
     act: (d) => {
-      const name = d.run.dispatcher();
+      const name = d.environment.dispatcher();
       const forMs = d.span(4000, 20_000);
       if (!d.lose([name], forMs)) return false;
       d.cut([name], d.keepers(), forMs, d.cutMode());
@@ -64,10 +64,10 @@
   /** One controller machine here, the others there, the rest of the fleet hearing both. */
   controllersSplit: {
     act: (d) => {
-      const lone = d.run.pick(d.run.machines('controller'));
+      const lone = d.environment.pick(d.environment.machines('controller'));
       const forMs = d.span(...partsMs);
       if (!d.lose([lone], forMs)) return false;
-      d.cut([lone], d.run.machines('controller'), forMs, d.cutMode());
+      d.cut([lone], d.environment.machines('controller'), forMs, d.cutMode());
       return true;
     },
   },
@@ -76,14 +76,14 @@
     act: (d) => {
       const forMs = d.span(...partsMs);
       if (!d.loseAll(forMs)) return false;
-      d.cut(d.run.machines('controller'), d.everybody(), forMs, d.cutMode());
+      d.cut(d.environment.machines('controller'), d.everybody(), forMs, d.cutMode());
       return true;
     },
   },
   /** Some fronts hear none of the machines that hold copies. */
   frontsCut: {
     act: (d) => {
-      d.cut(d.some(d.run.machines('front'), 0.2), d.keepers(), d.span(...partsMs), d.cutMode());
+      d.cut(d.some(d.environment.machines('front'), 0.2), d.keepers(), d.span(...partsMs), d.cutMode());
       return true;
     },
   },
@@ -91,15 +91,15 @@
   replicasCut: {
     act: (d) => {
       const names = d.some(d.replicas(), 0.2).map(({ machine }) => machine.name);
-      d.cut(names, d.some(d.run.machines('front'), 0.7), d.span(...partsMs), d.cutMode());
+      d.cut(names, d.some(d.environment.machines('front'), 0.7), d.span(...partsMs), d.cutMode());
       return true;
     },
   },
   loss: {
     act: (d) => {
-      d.run.fleet.net.lossRatio = d.span(0.01, 0.1);
-      d.run.later(d.span(1000, 5000), () => {
-        d.run.fleet.net.lossRatio = 0;
+      d.environment.fleet.net.lossRatio = d.span(0.01, 0.1);
+      d.environment.later(d.span(1000, 5000), () => {
+        d.environment.fleet.net.lossRatio = 0;
       });
       return true;
     },
@@ -107,9 +107,10 @@
   /** Half of the connections of some machines are reset. */
   connectionsReset: {
     act: (d) => {
-      const replicas = [...d.run.fleet.replicas.values()].map(({ machine }) => machine.name);
+      const replicas = [...d.environment.fleet.replicas.values()].map(({ machine }) => machine.name);
       for (const name of d.some(d.everybody(), 0.1))
-        for (const other of [...d.everybody(), ...replicas]) if (other !== name && d.chance(0.5)) d.run.fleet.net.reset(name, other);
+        for (const other of [...d.everybody(), ...replicas])
+          if (other !== name && d.chance(0.5)) d.environment.fleet.net.reset(name, other);
       return true;
     },
   },
--- a/testing/simulator/src/sim/faults/operatorFaults.ts
+++ b/testing/simulator/src/sim/faults/operatorFaults.ts
@@ -8,9 +8,9 @@
   /** Two operators at once, each at a controller machine of its own. */
   operatorsRace: {
     act: (d) => {
-      for (const [position, controller] of d.run.machines('controller').slice(0, 2).entries())
-        void d.run.operate(
-          { part: { bounds: { batchConcurrencyLimit: 100 + Math.floor(d.run.fleet.random() * 50) + position } } },
+      for (const [position, controller] of d.environment.machines('controller').slice(0, 2).entries())
+        void d.environment.operate(
+          { part: { bounds: { batchConcurrencyLimit: 100 + Math.floor(d.environment.fleet.random() * 50) + position } } },
           controller,
         );
       return true;
@@ -19,48 +19,51 @@
   /** Two orders under one number, and two under two numbers, all on one version. */
   ordersRace: {
     act: (d) => {
-      void d.run.operators.race([1, 1]);
-      d.run.later(1500, () => void d.run.operators.race([1, 2]));
+      void d.operators.race([1, 1]);
+      d.environment.later(1500, () => void d.operators.race([1, 2]));
       return true;
     },
   },
   /** Acknowledgements are lost, and the same orders are sent again to other controllers. */
   acksLost: {
     act: (d) => {
-      for (let order = 0; order < 4; order += 1) d.run.later(order * 700, () => void d.run.operators.order({ lossRatio }));
-      void d.run.operators.race([1, 1], lossRatio);
+      for (let order = 0; order < 4; order += 1) d.environment.later(order * 700, () => void d.operators.order({ lossRatio }));
+      void d.operators.race([1, 1], lossRatio);
       return true;
     },
   },
   ordersBurst: {
     act: (d) => {
-      for (let order = 0; order < 12; order += 1) d.run.later(order * 150, () => void d.run.operators.order());
+      for (let order = 0; order < 12; order += 1) d.environment.later(order * 150, () => void d.operators.order());
       return true;
     },
   },
   wrongOrders: {
     act: (d) => {
-      void d.run.operators.wrongOrders();
+      void d.operators.wrongOrders();
       return true;
     },
   },
   configurationBurst: {
     act: (d) => {
       for (let change = 0; change < 5; change += 1)
-        d.run.later(change * 300, () => void d.run.operate({ part: { bounds: { requeueAttempts: 400 + change } } }));
+        d.environment.later(change * 300, () => void d.environment.operate({ part: { bounds: { requeueAttempts: 400 + change } } }));
       return true;
     },
   },
   readConfiguration: {
     act: (d) => {
-      void d.run.readConfiguration();
+      void d.environment.readConfiguration();
       return true;
     },
   },
   /** A service and a branch that callers use are pruned, and planted again a while later. */
   prune: {
     act: (d) => {
-      const planted = { services: { memo: simService('whole', true, d.run.hosts) }, quotas: { guest: { share: 0.05, lends: false } } };
+      const planted = {
+        services: { memo: simService('whole', true, d.environment.hosts) },
+        quotas: { guest: { share: 0.05, lends: false } },
+      };
       void d.changeForAWhile({ services: { memo: null }, quotas: { guest: null } }, planted, d.span(4000, 9000));
       return true;
     },
@@ -74,7 +77,7 @@
   },
   crowd: {
     act: (d) => {
-      for (let task = 0; task < 400; task += 1) d.run.later(task * 2, () => d.run.traffic.task());
+      for (let task = 0; task < 400; task += 1) d.environment.later(task * 2, () => d.environment.traffic.task());
       return true;
     },
   },
--- a/testing/simulator/src/sim/faults/powerFaults.ts
+++ b/testing/simulator/src/sim/faults/powerFaults.ts
@@ -21,7 +21,7 @@
   },
   powerOffKeeper: {
     act: (d) => {
-      const name = d.run.pick(d.keepers());
+      const name = d.environment.pick(d.keepers());
       const offMs = d.span(500, 6000);
       if (!d.lose([name], offMs)) return false;
       d.powerOff(name, offMs);
@@ -31,30 +31,30 @@
   /** A controller loses its power while it writes one change after another. */
   powerOffWhileWriting: {
     act: (d) => {
-      const name = d.run.configurationLeader();
+      const name = d.environment.configurationLeader();
       const offMs = d.span(500, 4000);
       if (!d.lose([name], offMs)) return false;
-      for (let change = 0; change < 8; change += 1) d.run.later(change * 40, () => void d.run.operators.order());
-      d.run.later(d.span(20, 300), () => d.powerOff(name, offMs));
+      for (let change = 0; change < 8; change += 1) d.environment.later(change * 40, () => void d.operators.order());
+      d.environment.later(d.span(20, 300), () => d.powerOff(name, offMs));
       return true;
     },
   },
   /** The machine that acknowledged a change, and the one that leads, lose their power as the acknowledgement is on its way. */
   powerOffAfterAck: {
     act: (d) => {
-      const name = d.run.configurationLeader();
+      const name = d.environment.configurationLeader();
       const offMs = d.span(500, 4000);
       if (!d.lose([name], offMs)) return false;
-      void d.run.operators.order({ at: name }).then(() => d.powerOff(name, offMs));
+      void d.operators.order({ at: name }).then(() => d.powerOff(name, offMs));
       return true;
     },
   },
   /** As before, and it comes back with an empty disk while all others lose their power too. */
   wipedAfterAck: {
     act: (d) => {
-      const name = d.run.configurationLeader();
+      const name = d.environment.configurationLeader();
       if (!d.loseAll(backMs)) return false;
-      void d.run.operators.order({ at: name }).then(() => {
+      void d.operators.order({ at: name }).then(() => {
         const others = d.keepers().filter((other) => other !== name && d.chance(0.5));
         for (const other of others) d.powerOff(other, d.span(500, backMs));
         d.wipe(name, d.span(500, backMs));
@@ -66,10 +66,10 @@
   wipedAfterAccept: {
     act: (d) => {
       const offMs = d.span(500, 4000);
-      const name = d.run.pick(d.run.machines('store'));
+      const name = d.environment.pick(d.environment.machines('store'));
       if (!d.lose([name], offMs)) return false;
-      d.run.traffic.flood('north', 5);
-      d.run.later(d.span(5, 400), () => d.wipe(name, offMs));
+      d.environment.traffic.flood('north', 5);
+      d.environment.later(d.span(5, 400), () => d.wipe(name, offMs));
       return true;
     },
   },
--- a/testing/simulator/src/sim/faults/processFaults.ts
+++ b/testing/simulator/src/sim/faults/processFaults.ts
@@ -21,12 +21,12 @@
   if (name === undefined) return true;
   const backMs = 3500;
   if (!d.lose([name], backMs)) return false;
-  d.run.leave(name);
-  d.run.restart(name, backMs);
+  d.environment.leave(name);
+  d.environment.restart(name, backMs);
   const next = (): void => {
-    if (!roll(d, rest)) d.run.later(500, next);
+    if (!roll(d, rest)) d.environment.later(500, next);
   };
-  if (rest.length > 0) d.run.later(backMs + 500, next);
+  if (rest.length > 0) d.environment.later(backMs + 500, next);
   return true;
 }
 
@@ -34,23 +34,23 @@
 export const processFaults: Readonly<Record<string, SimFault>> = {
   killFront: {
     act: (d) => {
-      d.kill(d.run.pick(d.run.machines('front')), d.span(500, 4000));
+      d.kill(d.environment.pick(d.environment.machines('front')), d.span(500, 4000));
       return true;
     },
   },
-  killStore: { act: (d) => kill(d, d.run.pick(d.run.machines('store'))) },
-  killController: { act: (d) => kill(d, d.run.pick(d.run.machines('controller'))) },
-  killConfigurationLeader: { act: (d) => kill(d, d.run.configurationLeader()) },
-  killDispatcher: { act: (d) => kill(d, d.run.dispatcher()) },
+  killStore: { act: (d) => kill(d, d.environment.pick(d.environment.machines('store'))) },
+  killController: { act: (d) => kill(d, d.environment.pick(d.environment.machines('controller'))) },
+  killConfigurationLeader: { act: (d) => kill(d, d.environment.configurationLeader()) },
+  killDispatcher: { act: (d) => kill(d, d.environment.dispatcher()) },
   freezeFront: {
     act: (d) => {
-      d.freeze(d.run.pick(d.run.machines('front')), d.span(500, 9000));
+      d.freeze(d.environment.pick(d.environment.machines('front')), d.span(500, 9000));
       return true;
     },
   },
-  freezeStore: { act: (d) => freeze(d, d.run.pick(d.run.machines('store'))) },
-  freezeConfigurationLeader: { act: (d) => freeze(d, d.run.configurationLeader()) },
-  freezeDispatcher: { act: (d) => freeze(d, d.run.dispatcher()) },
+  freezeStore: { act: (d) => freeze(d, d.environment.pick(d.environment.machines('store'))) },
+  freezeConfigurationLeader: { act: (d) => freeze(d, d.environment.configurationLeader()) },
+  freezeDispatcher: { act: (d) => freeze(d, d.environment.dispatcher()) },
   /** More than half of everything is killed at once. */
   herdKilled: {
     act: (d) => {
@@ -65,7 +65,7 @@
     act: (d) => {
       const backMs = 3000;
       if (!d.loseAll(backMs)) return false;
-      for (const name of d.run.machines('controller')) d.kill(name, d.span(300, backMs));
+      for (const name of d.environment.machines('controller')) d.kill(name, d.span(300, backMs));
       return true;
     },
   },
@@ -80,21 +80,21 @@
   /** Two that hold copies, and perhaps all fronts, run several times slower. */
   machinesSlow: {
     act: (d) => {
-      const name = d.run.pick(d.keepers());
+      const name = d.environment.pick(d.keepers());
       const forMs = d.span(2000, 8000);
       if (!d.lose([name], forMs)) return false;
-      for (const slow of [name, ...d.some(d.run.machines('front'), 0.3)]) d.slow(slow, d.span(3, 10), forMs);
+      for (const slow of [name, ...d.some(d.environment.machines('front'), 0.3)]) d.slow(slow, d.span(3, 10), forMs);
       return true;
     },
   },
-  controllersRoll: { act: (d) => roll(d, d.run.machines('controller')) },
-  storesRoll: { act: (d) => roll(d, d.run.machines('store')) },
+  controllersRoll: { act: (d) => roll(d, d.environment.machines('controller')) },
+  storesRoll: { act: (d) => roll(d, d.environment.machines('store')) },
   frontsRoll: {
     act: (d) => {
-      d.run.machines('front').forEach((name, position) =>
-        d.run.later(position * 700, () => {
-          d.run.leave(name);
-          d.run.restart(name, 2000);
+      d.environment.machines('front').forEach((name, position) =>
+        d.environment.later(position * 700, () => {
+          d.environment.leave(name);
+          d.environment.restart(name, 2000);
         }),
       );
       return true;
@@ -103,11 +103,11 @@
   /** The machine that leads the configuration is killed again and again. */
   leaderKilledAgain: {
     act: (d) => {
-      const name = d.run.configurationLeader();
+      const name = d.environment.configurationLeader();
       const times = 3;
       const everyMs = 1500;
       if (!d.lose([name], everyMs * times)) return false;
-      for (let time = 0; time < times; time += 1) d.run.later(time * everyMs, () => d.kill(name, everyMs / 3));
+      for (let time = 0; time < times; time += 1) d.environment.later(time * everyMs, () => d.kill(name, everyMs / 3));
       return true;
     },
   },
--- a/testing/simulator/src/sim/faults/replacementFaults.ts
+++ b/testing/simulator/src/sim/faults/replacementFaults.ts
@@ -4,14 +4,14 @@
 export const replacementFaults: Readonly<Record<string, SimFault>> = {
   frontAdded: {
     act: (d) => {
-      d.run.fleet.start(d.run.newMachine('front'));
+      d.environment.fleet.start(d.environment.newMachine('front'));
       return true;
     },
   },
   storeAdded: {
     joining: true,
     act: (d) => {
-      d.run.fleet.start(d.run.newMachine('store'));
+      d.environment.fleet.start(d.environment.newMachine('store'));
       return true;
     },
   },
@@ -19,12 +19,12 @@
   keeperReplaced: {
     joining: true,
     act: (d) => {
-      const name = d.run.pick(d.keepers());
+      const name = d.environment.pick(d.keepers());
       const goneMs = d.span(500, 3000);
       if (!d.lose([name], goneMs)) return false;
-      const { role } = d.run.fleet.host(name);
-      d.run.fleet.remove(name);
-      d.run.later(goneMs, () => d.run.fleet.start(d.run.newMachine(role)));
+      const { role } = d.environment.fleet.host(name);
+      d.environment.fleet.remove(name);
+      d.environment.later(goneMs, () => d.environment.fleet.start(d.environment.newMachine(role)));
       return true;
     },
   },
@@ -32,11 +32,11 @@
   keeperReplacedInOrder: {
     joining: true,
     act: (d) => {
-      const name = d.run.pick(d.keepers());
+      const name = d.environment.pick(d.keepers());
       const overlapMs = 2000;
       if (!d.lose([name], overlapMs)) return false;
-      d.run.fleet.start(d.run.newMachine(d.run.fleet.host(name).role));
-      d.run.later(overlapMs, () => d.run.takeAway(name));
+      d.environment.fleet.start(d.environment.newMachine(d.environment.fleet.host(name).role));
+      d.environment.later(overlapMs, () => d.environment.takeAway(name));
       return true;
     },
   },
@@ -44,10 +44,10 @@
   storeRetired: {
     joining: true,
     act: (d) => {
-      const name = d.run.pick(d.run.machines('store'));
-      if (!d.lose([], 0) || d.run.losses.free() === 0) return false;
-      d.run.fleet.start(d.run.newMachine('store'));
-      d.run.later(1500, () => void d.run.retire(name));
+      const name = d.environment.pick(d.environment.machines('store'));
+      if (!d.lose([], 0) || d.environment.losses.free() === 0) return false;
+      d.environment.fleet.start(d.environment.newMachine('store'));
+      d.environment.later(1500, () => void d.environment.retire(name));
       return true;
     },
   },
--- a/testing/simulator/src/sim/faults/replicaFaults.ts
+++ b/testing/simulator/src/sim/faults/replicaFaults.ts
@@ -9,7 +9,7 @@
 function troubled(trouble: ReplicaTrouble, share = 0.25): SimFault {
   return {
     act: (d) => {
-      const zone = d.chance(0.25) ? { zone: d.run.pick(['a', 'b', 'c']) } : {};
+      const zone = d.chance(0.25) ? { zone: d.environment.pick(['a', 'b', 'c']) } : {};
       for (const replica of d.some(d.replicas(), share)) d.trouble(replica, { ...trouble, ...zone }, d.span(2000, 8000));
       return true;
     },
@@ -23,7 +23,7 @@
       const [one, other] = d.pairOfServices();
       if (one === undefined || other === undefined) return true;
       for (const replica of [one, other]) goes(d, replica);
-      d.run.later(3900, () => {
+      d.environment.later(3900, () => {
         const { services } = one;
         one.services = other.services;
         other.services = services;
@@ -37,22 +37,22 @@
 export const replicaFaults: Readonly<Record<string, SimFault>> = {
   replicaCrash: {
     act: (d) => {
-      d.crash(d.run.pick(d.replicas()), d.span(500, 12_000));
+      d.crash(d.environment.pick(d.replicas()), d.span(500, 12_000));
       return true;
     },
   },
   /** The replica goes dark: its machine stands still, its connections stay open. */
   replicaDark: {
     act: (d) => {
-      const { machine } = d.run.pick(d.replicas());
+      const { machine } = d.environment.pick(d.replicas());
       machine.freeze();
-      d.run.later(d.span(1000, 9000), () => machine.wake());
+      d.environment.later(d.span(1000, 9000), () => machine.wake());
       return true;
     },
   },
   replicaLeaves: {
     act: (d) => {
-      d.leave(d.run.pick(d.replicas()), 3500, d.span(4000, 8000));
+      d.leave(d.environment.pick(d.replicas()), 3500, d.span(4000, 8000));
       return true;
     },
   },
@@ -61,7 +61,7 @@
     act: (d) => {
       d.replicas()
         .slice(0, 4)
-        .forEach((replica, position) => d.run.later(position * 1200, () => d.leave(replica, 3500, 4000)));
+        .forEach((replica, position) => d.environment.later(position * 1200, () => d.leave(replica, 3500, 4000)));
       return true;
     },
   },
@@ -82,7 +82,7 @@
   replicasScaleOut: {
     act: (d) => {
       const places = d.some(d.replicas(), 0.3);
-      places.forEach((like, position) => d.run.later(position * 300, () => d.addReplica(like)));
+      places.forEach((like, position) => d.environment.later(position * 300, () => d.addReplica(like)));
       return true;
     },
   },
@@ -107,9 +107,9 @@
   /** One falls over and is back, again and again. */
   replicaFlaps: {
     act: (d) => {
-      const replica = d.run.pick(d.replicas());
+      const replica = d.environment.pick(d.replicas());
       for (let time = 0; time < 5; time += 1)
-        d.run.later(time * 1200, () => {
+        d.environment.later(time * 1200, () => {
           if (!replica.instance.dead) d.crash(replica, 500);
         });
       return true;
--- a/testing/simulator/src/sim/faults/settingsFaults.ts
+++ b/testing/simulator/src/sim/faults/settingsFaults.ts
@@ -20,14 +20,14 @@
   seedsTurned: {
     act: (d) => {
       d.turnSeeds();
-      for (const name of d.some(d.everybody(), 0.5)) d.run.later(d.span(0, 3000), () => d.run.fleet.reload(name));
-      for (const name of d.some(d.run.machines('front'), 0.3)) d.kill(name, 500);
+      for (const name of d.some(d.everybody(), 0.5)) d.environment.later(d.span(0, 3000), () => d.environment.fleet.reload(name));
+      for (const name of d.some(d.environment.machines('front'), 0.3)) d.kill(name, 500);
       return true;
     },
   },
   reloadSignals: {
     act: (d) => {
-      for (const name of d.some(d.everybody(), 0.3)) d.run.later(d.span(0, 2000), () => d.run.fleet.reload(name));
+      for (const name of d.some(d.everybody(), 0.3)) d.environment.later(d.span(0, 2000), () => d.environment.fleet.reload(name));
       return true;
     },
   },
--- a/testing/simulator/src/sim/nextAccepted.ts
+++ b/testing/simulator/src/sim/nextAccepted.ts
@@ -1,9 +1,9 @@
-import type { SimRun } from './simRun.js';
+import type { SimEnvironment } from './simEnvironment.js';
 
 const patienceMs = 10_000;
 
 /** Waits until the next lot of so many items is accepted, and says of which shard it is. */
-export async function nextAccepted(run: SimRun, items = 1): Promise<string> {
+export async function nextAccepted(run: SimEnvironment, items = 1): Promise<string> {
   const { history } = run.fleet;
   const long = (): string[] => history.flatMap((one) => (one.type === 'batchAccepted' && one.items.length >= items ? [one.batch] : []));
   const before = long().length;
--- a/testing/simulator/src/sim/partialPartition.ts
+++ b/testing/simulator/src/sim/partialPartition.ts
@@ -1,4 +1,4 @@
-import type { SimRun } from './simRun.js';
+import type { SimEnvironment } from './simEnvironment.js';
 
 /** Which messages of the machine are lost: those it sends, those sent to it, or all. */
 type LostDirection = 'out' | 'in' | 'both';
@@ -11,7 +11,7 @@
 }
 
 /** Cuts a machine off from all controllers and stores, while fronts and callers still reach it. */
-export function partialPartition(run: SimRun, { machine, lost, how = 'silent' }: PartialPartition): void {
+export function partialPartition(run: SimEnvironment, { machine, lost, how = 'silent' }: PartialPartition): void {
   const peers = [...run.machines('controller'), ...run.machines('store')].filter((peer) => peer !== machine);
   for (const peer of peers) {
     if (lost !== 'in') run.fleet.net.cut(machine, peer, how);
--- a/testing/simulator/src/sim/simOperators.ts
+++ b/testing/simulator/src/sim/simOperators.ts
@@ -1,6 +1,6 @@
 import type { ChangeOutcome, OperatorApi, ConfigurationChange } from '@pewterlanding/controller';
 import { simService } from './simService.js';
-import type { SimRun } from './simRun.js';
+import type { SimEnvironment } from './simEnvironment.js';
 
 interface OrderOptions {
   /** The controller that it is sent to first; drawn where it is left out. */
@@ -24,14 +24,14 @@
 
 /** Operators that put changes in force in one call, and send the same order again, to another controller, until they hear of it. */
 export class SimOperators {
-  readonly #run: SimRun;
+  readonly #environment: SimEnvironment;
   /** Every order that was sent, oldest first. */
   readonly #sent: ConfigurationChange[] = [];
   #orders = 0;
   #stopped = false;
 
-  constructor(run: SimRun) {
-    this.#run = run;
+  constructor(environment: SimEnvironment) {
+    this.#environment = environment;
   }
 
   /** Sends an order until an acknowledgement arrives; what the operator then knows. */
@@ -45,7 +45,7 @@
   async race(ahead: readonly number[], lossRatio = 0): Promise<readonly Verdict[]> {
     const basedOn = await this.revision();
     if (basedOn === undefined) return [];
-    const controllers = this.#run.machines('controller');
+    const controllers = this.#environment.machines('controller');
     const all = ahead.map((step, position) =>
       this.order({ basedOn, ahead: step, lossRatio, at: controllers[position % controllers.length] }),
     );
@@ -54,9 +54,9 @@
 
   /** From now on an operator sends an order every so often, until it is stopped. Now and then it sends old ones again. */
   keepOn(everyMs: number, lossRatio: number): void {
-    this.#run.later(everyMs, () => {
+    this.#environment.later(everyMs, () => {
       if (this.#stopped) return;
-      const again = this.#run.fleet.random() < againRatio;
+      const again = this.#environment.fleet.random() < againRatio;
       void (again ? this.repeatAll(1) : this.order({ lossRatio }));
       this.keepOn(everyMs, lossRatio);
     });
@@ -95,7 +95,7 @@
   /** A change of one service that callers do not notice, unlike any other. */
   #change(basedOn: number, revision: number): ConfigurationChange {
     this.#orders += 1;
-    const sheet = { ...simService('whole', false, this.#run.hosts), runMs: 8000 + this.#orders };
+    const sheet = { ...simService('whole', false, this.#environment.hosts), runMs: 8000 + this.#orders };
     const drop = { routes: [], services: [] };
     return { basedOn, revision, hash: `order-${this.#orders}`, change: { kind: 'items', routes: {}, services: { sheet }, drop } };
   }
@@ -104,7 +104,7 @@
     change: ConfigurationChange,
     options: Pick<OrderOptions, 'at' | 'lossRatio'> & { readonly wrong?: boolean },
   ): Promise<Verdict> {
-    const { fleet } = this.#run;
+    const { fleet } = this.#environment;
     const order = `${change.revision}/${change.hash}`;
     const { basedOn, revision } = change;
     if (!this.#sent.includes(change)) {
@@ -121,7 +121,7 @@
         fleet.note({ type: 'orderAnswered', atMs: fleet.time.nowMs, order, outcome, lost });
         if (!lost) return outcome;
       }
-      await new Promise<void>((resolve) => this.#run.later(againMs, resolve));
+      await new Promise<void>((resolve) => this.#environment.later(againMs, resolve));
     }
     return 'unclear';
   }
@@ -129,18 +129,18 @@
   /** What comes of an answer that may never come: whoever was asked may be gone. */
   #patiently<T>(answer: Promise<T> | undefined): Promise<T | undefined> {
     if (answer === undefined) return Promise.resolve(undefined);
-    const patience = new Promise<undefined>((resolve) => this.#run.later(ackMs, () => resolve(undefined)));
+    const patience = new Promise<undefined>((resolve) => this.#environment.later(ackMs, () => resolve(undefined)));
     return Promise.race([answer.catch(() => undefined), patience]);
   }
 
   /** A controller that answers now: the one asked for, or any but the last. */
   #operatorApi(at: string | undefined, but: string | undefined): { readonly name: string; readonly operatorApi: OperatorApi } | undefined {
-    const open = this.#run.fleet.named('controller').flatMap(({ machine, process }) => {
+    const open = this.#environment.fleet.named('controller').flatMap(({ machine, process }) => {
       const operatorApi = process?.operatorApi;
       return operatorApi === undefined || machine.frozen ? [] : [{ name: machine.name, operatorApi }];
     });
     const chosen = open.find(({ name }) => name === at);
     const others = open.filter(({ name }) => name !== but);
-    return chosen ?? others[Math.floor(this.#run.fleet.random() * others.length)];
+    return chosen ?? others[Math.floor(this.#environment.fleet.random() * others.length)];
   }
 }
