--- a/testing/simulator/src/history/batchCheckers.ts
+++ b/testing/simulator/src/checkers/batchCheckers.ts
@@ -1,6 +1,6 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
-import { of } from './of.js';
+import { of } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 import { unreadableSpans } from './unreadableSpans.js';
 
--- a/testing/simulator/src/history/checkers.ts
+++ b/testing/simulator/src/checkers/checkers.ts
@@ -3,7 +3,7 @@
 import { itemStartChecker } from './itemStartChecker.js';
 import { batchCheckers } from './batchCheckers.js';
 import { orderCheckers } from './orderCheckers.js';
-import { of } from './of.js';
+import { of } from '../history/index.js';
 import { recoveryChecker } from './recoveryChecker.js';
 import { runsByKey } from './runsByKey.js';
 import { configurationCheckers } from './configurationCheckers.js';
--- a/testing/simulator/src/history/itemStartChecker.ts
+++ b/testing/simulator/src/checkers/itemStartChecker.ts
@@ -1,6 +1,6 @@
 import type { Checker } from './checker.js';
-import type { HistoryEvent } from './historyEvent.js';
-import { of } from './of.js';
+import type { HistoryEvent } from '../history/index.js';
+import { of } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 
 /** When each lot was ended, by its name. */
--- a/testing/simulator/src/history/judge.ts
+++ b/testing/simulator/src/checkers/judge.ts
@@ -1,6 +1,6 @@
 import type { CheckerBounds } from './checkerBounds.js';
 import { checkers } from './checkers.js';
-import type { HistoryEvent } from './historyEvent.js';
+import type { HistoryEvent } from '../history/index.js';
 import type { Verdict } from './verdict.js';
 
 /** Every rule's verdict on a history, put in the order of time. */
--- a/testing/simulator/src/history/orderCheckers.ts
+++ b/testing/simulator/src/checkers/orderCheckers.ts
@@ -1,6 +1,6 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
-import { of } from './of.js';
+import { of } from '../history/index.js';
 
 /** What is promised about orders that are planned, checked and confirmed in one call. */
 export const orderCheckers: Readonly<Record<string, Checker>> = {
--- a/testing/simulator/src/history/recoveryChecker.ts
+++ b/testing/simulator/src/checkers/recoveryChecker.ts
@@ -1,5 +1,5 @@
 import type { Checker } from './checker.js';
-import { of } from './of.js';
+import { of } from '../history/index.js';
 
 /** So many of a kind must be expected in the window before its rate says anything. */
 const minExpected = 4;
--- a/testing/simulator/src/history/shareChecker.ts
+++ b/testing/simulator/src/checkers/shareChecker.ts
@@ -1,7 +1,7 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
-import type { HistoryEvent } from './historyEvent.js';
-import { of } from './of.js';
+import type { HistoryEvent } from '../history/index.js';
+import { of } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 
 const minuteMs = 60_000;
--- a/testing/simulator/src/history/unreadableSpans.ts
+++ b/testing/simulator/src/checkers/unreadableSpans.ts
@@ -1,5 +1,5 @@
-import type { HistoryEvent } from './historyEvent.js';
-import { of } from './of.js';
+import type { HistoryEvent } from '../history/index.js';
+import { of } from '../history/index.js';
 
 type Read = Extract<HistoryEvent, { type: 'batchRead' }>;
 
--- a/testing/simulator/src/digest/digestCases.ts
+++ b/testing/simulator/src/digest/digestCases.ts
@@ -1,18 +1,19 @@
-import { runModel } from '../model/runModel.js';
-import { partialPartitionScenarios } from '../sim/partialPartitionScenarios.js';
-import type { Scenario } from '../sim/scenario.js';
-import { catchUpScenarios } from '../sim/scenarios/catchUpScenarios.js';
-import { configurationScenarios } from '../sim/scenarios/configurationScenarios.js';
-import { fleetScenarios } from '../sim/scenarios/fleetScenarios.js';
-import { itemScenarios } from '../sim/scenarios/itemScenarios.js';
-import { limitScenarios } from '../sim/scenarios/limitScenarios.js';
-import { batchScenarios } from '../sim/scenarios/batchScenarios.js';
-import { orderScenarios } from '../sim/scenarios/orderScenarios.js';
-import { repairScenarios } from '../sim/scenarios/repairScenarios.js';
-import { taskScenarios } from '../sim/scenarios/taskScenarios.js';
-import { simDay } from '../sim/simDay.js';
-import { simDeployments } from '../sim/simDeployments.js';
-import { simScenario } from '../sim/simScenario.js';
+import { runModel } from '../model/index.js';
+import {
+  partialPartitionScenarios,
+  catchUpScenarios,
+  configurationScenarios,
+  fleetScenarios,
+  itemScenarios,
+  limitScenarios,
+  batchScenarios,
+  orderScenarios,
+  repairScenarios,
+  taskScenarios,
+} from '../scenarios/index.js';
+import type { Scenario } from '../scenarios/index.js';
+import { simDay, simScenario } from '../runs/index.js';
+import { simDeployments } from '../simulation/index.js';
 import type { DigestCase } from './digestCase.js';
 
 const daySeeds = [1, 2, 3, 4, 5, 6];
--- a/testing/simulator/src/digest/digestWorker.ts
+++ b/testing/simulator/src/digest/digestWorker.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { errorLine } from '@pewterlanding/runtime';
-import { historyDigest } from '../history/historyDigest.js';
+import { historyDigest } from '../history/index.js';
 import { digestCases } from './digestCases.js';
 import type { DigestResult } from './digestResult.js';
 
--- /dev/null
+++ b/testing/simulator/src/digest/index.ts
@@ -0,0 +1,2 @@
+export * from './digest.js';
+export * from './digestDifferences.js';
--- /dev/null
+++ b/testing/simulator/src/disk/index.ts
@@ -0,0 +1,1 @@
+export * from './simDisk.js';
--- a/testing/simulator/src/sim/simDisk.ts
+++ b/testing/simulator/src/disk/simDisk.ts
@@ -1,6 +1,5 @@
 import type { Disk } from '@pewterlanding/runtime';
-import type { Instance } from './instance.js';
-import type { SimTime } from './simTime.js';
+import type { Instance, SimTime } from '../engine/index.js';
 
 /** A change of the files that has not been synced yet. */
 interface Change {
--- a/testing/simulator/src/sim/faults/operatorFaults.ts
+++ b/testing/simulator/src/faults/operatorFaults.ts
@@ -1,5 +1,5 @@
-import type { SimFault } from '../simFault.js';
-import { simService } from '../simService.js';
+import type { SimFault } from './simFault.js';
+import { simService } from '../simulation/index.js';
 
 const lossRatio = 0.7;
 
--- a/testing/simulator/src/sim/faults/processFaults.ts
+++ b/testing/simulator/src/faults/processFaults.ts
@@ -1,5 +1,5 @@
-import type { Disruption } from '../disruption.js';
-import type { SimFault } from '../simFault.js';
+import type { Disruption } from '../simulation/index.js';
+import type { SimFault } from './simFault.js';
 
 function kill(d: Disruption, name: string): boolean {
   const backMs = d.span(500, 6000);
--- a/testing/simulator/src/sim/faults/replacementFaults.ts
+++ b/testing/simulator/src/faults/replacementFaults.ts
@@ -1,4 +1,4 @@
-import type { SimFault } from '../simFault.js';
+import type { SimFault } from './simFault.js';
 
 /** Machines are added, replaced by empty ones at other addresses, or emptied and taken away. */
 export const replacementFaults: Readonly<Record<string, SimFault>> = {
--- a/testing/simulator/src/sim/faults/replicaFaults.ts
+++ b/testing/simulator/src/faults/replicaFaults.ts
@@ -1,6 +1,5 @@
-import type { Disruption } from '../disruption.js';
-import type { ReplicaTrouble } from '../replicaTrouble.js';
-import type { SimFault } from '../simFault.js';
+import type { Disruption, ReplicaTrouble } from '../simulation/index.js';
+import type { SimFault } from './simFault.js';
 
 const spotNoticeMs = 2000;
 const spotBackMs = 4000;
--- a/testing/simulator/src/sim/faults/settingsFaults.ts
+++ b/testing/simulator/src/faults/settingsFaults.ts
@@ -1,4 +1,4 @@
-import type { SimFault } from '../simFault.js';
+import type { SimFault } from './simFault.js';
 
 const stepMs = 2000;
 
--- a/testing/simulator/src/sim/simFault.ts
+++ b/testing/simulator/src/faults/simFault.ts
@@ -1,4 +1,4 @@
-import type { Disruption } from './disruption.js';
+import type { Disruption } from '../simulation/index.js';
 
 /** One trouble as one act, which also brings about its own repair. */
 export interface SimFault {
--- a/testing/simulator/src/real/drive.ts
+++ b/testing/simulator/src/fleet/drive.ts
@@ -5,7 +5,7 @@
 import type { Address } from '@pewterlanding/model';
 import type { Deployment } from './deployment.js';
 import type { Fleet } from './fleet.js';
-import type { HistoryEvent } from '../history/historyEvent.js';
+import type { HistoryEvent } from '../history/index.js';
 
 type Traffic = Deployment['traffic'][number];
 
--- a/testing/simulator/src/real/fleetDay.ts
+++ b/testing/simulator/src/fleet/fleetDay.ts
@@ -1,10 +1,7 @@
 import { seededRandom } from '@pewterlanding/runtime';
 import * as v from 'valibot';
-import { briefBounds } from '../history/briefBounds.js';
-import type { HistoryEvent } from '../history/historyEvent.js';
-import { judge } from '../history/judge.js';
-import { unreadableSpans } from '../history/unreadableSpans.js';
-import { verdictLine } from '../history/verdictLine.js';
+import { briefBounds, judge, unreadableSpans, verdictLine } from '../checkers/index.js';
+import type { HistoryEvent } from '../history/index.js';
 import { chaos } from './chaos.js';
 import { Drive } from './drive.js';
 import { Fleet } from './fleet.js';
--- a/testing/simulator/src/real/ground.ts
+++ b/testing/simulator/src/fleet/ground.ts
@@ -1,4 +1,4 @@
-import type { HistoryEvent } from '../history/historyEvent.js';
+import type { HistoryEvent } from '../history/index.js';
 import type { Deployment } from './deployment.js';
 import type { Drive } from './drive.js';
 import type { Fleet } from './fleet.js';
--- a/testing/simulator/src/real/operator.ts
+++ b/testing/simulator/src/fleet/operator.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { check, mergePatch } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
-import type { HistoryEvent } from '../history/historyEvent.js';
+import type { HistoryEvent } from '../history/index.js';
 import type { Fleet } from './fleet.js';
 
 const Named = v.record(v.string(), v.unknown());
--- /dev/null
+++ b/testing/simulator/src/history/index.ts
@@ -0,0 +1,3 @@
+export * from './historyDigest.js';
+export * from './historyEvent.js';
+export * from './of.js';
--- a/testing/simulator/src/hollow/hollow.ts
+++ b/testing/simulator/src/hollow/hollow.ts
@@ -1,4 +1,4 @@
-import { freeNet } from '../real/freeNet.js';
+import { freeNet } from '../fleet/index.js';
 import { HollowFleet } from './hollowFleet.js';
 import { hollowLosses } from './hollowLosses.js';
 import type { HollowOptions } from './hollowOptions.js';
--- /dev/null
+++ b/testing/simulator/src/hollow/index.ts
@@ -0,0 +1,2 @@
+export * from './hollow.js';
+export * from './spanOf.js';
--- a/testing/simulator/src/main.ts
+++ b/testing/simulator/src/main.ts
@@ -6,23 +6,16 @@
 import { FindingsError } from '@pewterlanding/model';
 import { errorLine, seededRandom } from '@pewterlanding/runtime';
 import type { Finding } from '@pewterlanding/model';
-import { mutations } from './mutation/mutations.js';
-import { runMutations } from './mutation/runMutations.js';
-import { digest } from './digest/digest.js';
-import { verdictLine } from './history/verdictLine.js';
-import { hollow } from './hollow/hollow.js';
-import { chaos } from './real/chaos.js';
-import { Fleet } from './real/fleet.js';
-import { fleetDay } from './real/fleetDay.js';
-import { readDeployment } from './real/readDeployment.js';
-import { scale } from './scale.js';
-import { slopes } from './slopes.js';
-import { campaign } from './sim/campaign.js';
-import { faults } from './sim/faults.js';
-import { scenarios } from './sim/scenarios.js';
-import { simDay } from './sim/simDay.js';
-import { simDeployments } from './sim/simDeployments.js';
-import { simScenario } from './sim/simScenario.js';
+import { mutations, runMutations } from './mutation/index.js';
+import { digest } from './digest/index.js';
+import { verdictLine } from './checkers/index.js';
+import { hollow } from './hollow/index.js';
+import { chaos, Fleet, fleetDay, readDeployment } from './fleet/index.js';
+import { scale, slopes } from './measurements/index.js';
+import { campaign, simDay, simScenario } from './runs/index.js';
+import { faults } from './faults/index.js';
+import { scenarios } from './scenarios/index.js';
+import { simDeployments } from './simulation/index.js';
 
 const cli = meow(
   `
--- /dev/null
+++ b/testing/simulator/src/measurements/index.ts
@@ -0,0 +1,2 @@
+export * from './scale.js';
+export * from './slopes.js';
--- a/testing/simulator/src/scale.ts
+++ b/testing/simulator/src/measurements/scale.ts
@@ -2,7 +2,7 @@
 import { selectItems } from '@pewterlanding/controller';
 import { QuotaName, BatchId, ServiceName } from '@pewterlanding/model';
 import { QuotaTree, Counter } from '@pewterlanding/rate-limit';
-import { SimRun } from './sim/simRun.js';
+import { SimRun } from '../simulation/index.js';
 
 const spanMs = 10_000;
 
--- a/testing/simulator/src/slopes.ts
+++ b/testing/simulator/src/measurements/slopes.ts
@@ -6,7 +6,7 @@
 import { SystemClock } from '@pewterlanding/runtime';
 import { QuotaTree, Counter } from '@pewterlanding/rate-limit';
 import { BatchCommand, BatchShard } from '@pewterlanding/store';
-import { spanOf } from './hollow/spanOf.js';
+import { spanOf } from '../hollow/index.js';
 
 const runs = 5;
 const encoder = new Encoder({ useRecords: false });
--- a/testing/simulator/src/model/changeOf.ts
+++ b/testing/simulator/src/model/changeOf.ts
@@ -1,5 +1,5 @@
 import type { ConfigurationChange } from '@pewterlanding/controller';
-import { simService } from '../sim/simService.js';
+import { simService } from '../simulation/index.js';
 import type { RegisterOrder } from './registerOrder.js';
 
 /** An order as the shipped register takes it. */
--- a/testing/simulator/src/model/exploredProcess.ts
+++ b/testing/simulator/src/model/exploredProcess.ts
@@ -5,12 +5,10 @@
 import { Counters, quietLog } from '@pewterlanding/runtime';
 import type { Address, NodeName } from '@pewterlanding/model';
 import type { Disk, Transport } from '@pewterlanding/runtime';
-import { Instance } from '../sim/instance.js';
-import { SimClock } from '../sim/simClock.js';
-import { SimMachine } from '../sim/simMachine.js';
-import type { SimNet } from '../sim/simNet.js';
-import type { SimTime } from '../sim/simTime.js';
-import { SimTransport } from '../sim/simTransport.js';
+import { Instance, SimClock, SimMachine } from '../engine/index.js';
+import type { SimNet } from '../network/index.js';
+import type { SimTime } from '../engine/index.js';
+import { SimTransport } from '../network/index.js';
 import { modelBounds } from './modelBounds.js';
 import { PackedShard } from './packedShard.js';
 import { tapTransport } from './tapTransport.js';
--- a/testing/simulator/src/model/heldNet.ts
+++ b/testing/simulator/src/model/heldNet.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import type { Address } from '@pewterlanding/model';
-import type { Instance } from '../sim/instance.js';
-import { SimNet } from '../sim/simNet.js';
-import { SimTime } from '../sim/simTime.js';
+import type { Instance } from '../engine/index.js';
+import { SimNet } from '../network/index.js';
+import { SimTime } from '../engine/index.js';
 import { ReplyAddresses } from './replyAddresses.js';
 
 type Sent = Parameters<SimNet['send']>;
--- a/testing/simulator/src/model/heldTime.ts
+++ b/testing/simulator/src/model/heldTime.ts
@@ -1,4 +1,4 @@
-import { SimTime } from '../sim/simTime.js';
+import { SimTime } from '../engine/index.js';
 
 /** Time for a disk whose writes end only when they are chosen to, one after the other. */
 export class HeldTime extends SimTime {
--- /dev/null
+++ b/testing/simulator/src/model/index.ts
@@ -0,0 +1,1 @@
+export * from './runModel.js';
--- a/testing/simulator/src/model/modelMachine.ts
+++ b/testing/simulator/src/model/modelMachine.ts
@@ -1,7 +1,7 @@
 import type { GroupMember } from '@pewterlanding/consensus';
 import type { Address, NodeName } from '@pewterlanding/model';
-import type { SimDisk } from '../sim/simDisk.js';
-import type { SimMachine } from '../sim/simMachine.js';
+import type { SimDisk } from '../disk/index.js';
+import type { SimMachine } from '../engine/index.js';
 import type { ModelNode } from './modelNode.js';
 import type { WriteTrap } from './writeTrap.js';
 
--- a/testing/simulator/src/model/modelMutations.ts
+++ b/testing/simulator/src/model/modelMutations.ts
@@ -1,4 +1,4 @@
-import type { Mutation } from '../mutation/mutation.js';
+import type { Mutation } from '../mutation/index.js';
 
 /** A guard of the consensus or of the register, and a run of the model that fails without it within so many cases. */
 interface ModelMutation extends Pick<Mutation, 'name' | 'edits'> {
--- a/testing/simulator/src/model/modelNet.ts
+++ b/testing/simulator/src/model/modelNet.ts
@@ -1,5 +1,5 @@
-import { SimNet } from '../sim/simNet.js';
-import type { SimTime } from '../sim/simTime.js';
+import { SimNet } from '../network/index.js';
+import type { SimTime } from '../engine/index.js';
 import { ReplyAddresses } from './replyAddresses.js';
 
 type Sent = Parameters<SimNet['send']>;
--- a/testing/simulator/src/model/modelNode.ts
+++ b/testing/simulator/src/model/modelNode.ts
@@ -5,12 +5,10 @@
 import { Counters, every, TransportError } from '@pewterlanding/runtime';
 import type { Address, NodeName } from '@pewterlanding/model';
 import type { Log, Transport } from '@pewterlanding/runtime';
-import { Instance } from '../sim/instance.js';
-import { SimClock } from '../sim/simClock.js';
-import type { SimDisk } from '../sim/simDisk.js';
-import type { SimMachine } from '../sim/simMachine.js';
-import type { SimTime } from '../sim/simTime.js';
-import { SimTransport } from '../sim/simTransport.js';
+import { Instance, SimClock } from '../engine/index.js';
+import type { SimDisk } from '../disk/index.js';
+import type { SimMachine, SimTime } from '../engine/index.js';
+import { SimTransport } from '../network/index.js';
 import { modelBounds } from './modelBounds.js';
 import type { ModelNet } from './modelNet.js';
 import { PackedShard } from './packedShard.js';
--- a/testing/simulator/src/model/replyAddresses.ts
+++ b/testing/simulator/src/model/replyAddresses.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { Address } from '@pewterlanding/model';
-import type { Instance } from '../sim/instance.js';
+import type { Instance } from '../engine/index.js';
 
 interface End {
   readonly address: Address;
--- a/testing/simulator/src/model/writeTrap.ts
+++ b/testing/simulator/src/model/writeTrap.ts
@@ -1,6 +1,5 @@
 import type { Disk } from '@pewterlanding/runtime';
-import type { SimMachine } from '../sim/simMachine.js';
-import type { SimTime } from '../sim/simTime.js';
+import type { SimMachine, SimTime } from '../engine/index.js';
 
 /** Well inside the shortest sync, so that the process ends while its write is on the way. */
 const insideWriteMs = 0.1;
--- /dev/null
+++ b/testing/simulator/src/network/index.ts
@@ -0,0 +1,3 @@
+export * from './cutMode.js';
+export * from './simNet.js';
+export * from './simTransport.js';
--- a/testing/simulator/src/sim/simNet.ts
+++ b/testing/simulator/src/network/simNet.ts
@@ -1,8 +1,6 @@
 import type { Address } from '@pewterlanding/model';
 import type { CutMode } from './cutMode.js';
-import type { Instance } from './instance.js';
-import type { SimMachine } from './simMachine.js';
-import type { SimTime } from './simTime.js';
+import type { Instance, SimMachine, SimTime } from '../engine/index.js';
 
 interface Listener {
   readonly machine: SimMachine;
--- a/testing/simulator/src/sim/simTransport.ts
+++ b/testing/simulator/src/network/simTransport.ts
@@ -3,8 +3,7 @@
 import { RequestTracker, Frame } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
 import type { Call, Clock, Counters, Transport } from '@pewterlanding/runtime';
-import type { Instance } from './instance.js';
-import type { SimMachine } from './simMachine.js';
+import type { Instance, SimMachine } from '../engine/index.js';
 import type { SimNet } from './simNet.js';
 
 interface SimTransportOptions {
--- a/testing/simulator/src/sim/campaign.ts
+++ b/testing/simulator/src/runs/campaign.ts
@@ -1,6 +1,6 @@
 import { errorLine } from '@pewterlanding/runtime';
 import { simDay } from './simDay.js';
-import { simDeployments } from './simDeployments.js';
+import { simDeployments } from '../simulation/index.js';
 
 interface CampaignOptions {
   readonly days: number;
--- a/testing/simulator/src/sim/simDay.ts
+++ b/testing/simulator/src/runs/simDay.ts
@@ -1,7 +1,6 @@
 import { seededRandom } from '@pewterlanding/runtime';
-import { faults } from './faults.js';
-import { simDeployments } from './simDeployments.js';
-import { SimRun } from './simRun.js';
+import { faults } from '../faults/index.js';
+import { simDeployments, SimRun } from '../simulation/index.js';
 
 interface DayOptions {
   readonly seed: number;
--- a/testing/simulator/src/sim/simScenario.ts
+++ b/testing/simulator/src/runs/simScenario.ts
@@ -1,6 +1,6 @@
-import { briefBounds } from '../history/briefBounds.js';
-import { scenarios } from './scenarios.js';
-import { SimRun } from './simRun.js';
+import { briefBounds } from '../checkers/index.js';
+import { scenarios } from '../scenarios/index.js';
+import { SimRun } from '../simulation/index.js';
 
 /** Runs one scenario under a seed. */
 export async function simScenario(name: string, seed: number, trace?: (line: string) => void) {
--- a/testing/simulator/src/sim/scenarios/batchScenarios.ts
+++ b/testing/simulator/src/scenarios/batchScenarios.ts
@@ -1,5 +1,5 @@
-import { nextAccepted } from '../nextAccepted.js';
-import type { Scenario } from '../scenario.js';
+import { nextAccepted } from './nextAccepted.js';
+import type { Scenario } from './scenario.js';
 
 /** So slow that power can be lost between one write and the next. */
 const slowSyncMs = 400;
--- a/testing/simulator/src/sim/scenarios/catchUpScenarios.ts
+++ b/testing/simulator/src/scenarios/catchUpScenarios.ts
@@ -1,4 +1,4 @@
-import type { Scenario } from '../scenario.js';
+import type { Scenario } from './scenario.js';
 
 const hundredsOfOrders = 220;
 
--- a/testing/simulator/src/sim/scenarios/configurationScenarios.ts
+++ b/testing/simulator/src/scenarios/configurationScenarios.ts
@@ -1,5 +1,5 @@
-import { operatorFaults } from '../faults/operatorFaults.js';
-import type { Scenario } from '../scenario.js';
+import { operatorFaults } from '../faults/index.js';
+import type { Scenario } from './scenario.js';
 
 /** Configurations that must stay in force, and those that must not return. */
 export const configurationScenarios: Readonly<Record<string, Scenario>> = {
--- a/testing/simulator/src/sim/scenarios/fleetScenarios.ts
+++ b/testing/simulator/src/scenarios/fleetScenarios.ts
@@ -1,4 +1,4 @@
-import type { Scenario } from '../scenario.js';
+import type { Scenario } from './scenario.js';
 
 /** The whole fleet: at rest, restarted, cut apart. */
 export const fleetScenarios: Readonly<Record<string, Scenario>> = {
--- a/testing/simulator/src/sim/scenarios/itemScenarios.ts
+++ b/testing/simulator/src/scenarios/itemScenarios.ts
@@ -1,6 +1,6 @@
-import { processFaults } from '../faults/processFaults.js';
-import { nextAccepted } from '../nextAccepted.js';
-import type { Scenario } from '../scenario.js';
+import { processFaults } from '../faults/index.js';
+import { nextAccepted } from './nextAccepted.js';
+import type { Scenario } from './scenario.js';
 
 /** Items that are leased, started and ended while machines die and stand still. */
 export const itemScenarios: Readonly<Record<string, Scenario>> = {
--- a/testing/simulator/src/sim/scenarios/limitScenarios.ts
+++ b/testing/simulator/src/scenarios/limitScenarios.ts
@@ -1,4 +1,4 @@
-import type { Scenario } from '../scenario.js';
+import type { Scenario } from './scenario.js';
 
 /** Waiting work that must stay inside its branch's share. */
 export const limitScenarios: Readonly<Record<string, Scenario>> = {
--- a/testing/simulator/src/sim/nextAccepted.ts
+++ b/testing/simulator/src/scenarios/nextAccepted.ts
@@ -1,4 +1,4 @@
-import type { SimEnvironment } from './simEnvironment.js';
+import type { SimEnvironment } from '../simulation/index.js';
 
 const patienceMs = 10_000;
 
--- a/testing/simulator/src/sim/scenarios/orderScenarios.ts
+++ b/testing/simulator/src/scenarios/orderScenarios.ts
@@ -1,4 +1,4 @@
-import type { Scenario } from '../scenario.js';
+import type { Scenario } from './scenario.js';
 
 const lossRatio = 0.7;
 /** More than any memory of the last few hundred changes holds. */
--- a/testing/simulator/src/sim/partialPartition.ts
+++ b/testing/simulator/src/scenarios/partialPartition.ts
@@ -1,4 +1,4 @@
-import type { SimEnvironment } from './simEnvironment.js';
+import type { SimEnvironment } from '../simulation/index.js';
 
 /** Which messages of the machine are lost: those it sends, those sent to it, or all. */
 type LostDirection = 'out' | 'in' | 'both';
--- a/testing/simulator/src/sim/partialPartitionScenarios.ts
+++ b/testing/simulator/src/scenarios/partialPartitionScenarios.ts
@@ -1,6 +1,6 @@
 import { partialPartition } from './partialPartition.js';
 import type { Scenario } from './scenario.js';
-import type { SimRun } from './simRun.js';
+import type { SimRun } from '../simulation/index.js';
 
 /** The failure timeout that simulated fleets run under. */
 const failureTimeoutMs = 1000;
--- a/testing/simulator/src/sim/scenarios/repairScenarios.ts
+++ b/testing/simulator/src/scenarios/repairScenarios.ts
@@ -1,6 +1,6 @@
-import { nextAccepted } from '../nextAccepted.js';
-import type { Scenario } from '../scenario.js';
-import type { SimRun } from '../simRun.js';
+import { nextAccepted } from './nextAccepted.js';
+import type { Scenario } from './scenario.js';
+import type { SimRun } from '../simulation/index.js';
 
 /** The disks of a usual machine, and of one that takes thirty times as long. */
 const usualSyncMs = 8;
--- a/testing/simulator/src/sim/scenario.ts
+++ b/testing/simulator/src/scenarios/scenario.ts
@@ -1,4 +1,4 @@
-import type { SimRun } from './simRun.js';
+import type { SimRun } from '../simulation/index.js';
 
 /** One failure of the brief, brought about on purpose: what it needs of the fleet, and what happens on it. */
 export interface Scenario {
--- a/testing/simulator/src/sim/scenarios/taskScenarios.ts
+++ b/testing/simulator/src/scenarios/taskScenarios.ts
@@ -1,5 +1,5 @@
-import { replicaFaults } from '../faults/replicaFaults.js';
-import type { Scenario } from '../scenario.js';
+import { replicaFaults } from '../faults/index.js';
+import type { Scenario } from './scenario.js';
 
 /** Tasks whose replicas break off, leave, or are not heard. */
 export const taskScenarios: Readonly<Record<string, Scenario>> = {
--- a/testing/simulator/src/sim/countedLosses.ts
+++ b/testing/simulator/src/simulation/countedLosses.ts
@@ -1,4 +1,4 @@
-import type { SimTime } from './simTime.js';
+import type { SimTime } from '../engine/index.js';
 
 /** Which of the machines that hold copies are lost at the moment, against how many may be lost at once. */
 export class CountedLosses {
--- a/testing/simulator/src/sim/disruption.ts
+++ b/testing/simulator/src/simulation/disruption.ts
@@ -1,4 +1,4 @@
-import type { CutMode } from './cutMode.js';
+import type { CutMode } from '../network/index.js';
 import type { ReplicaTrouble } from './replicaTrouble.js';
 import type { SimReplica } from './simReplica.js';
 import type { SimEnvironment } from './simEnvironment.js';
--- /dev/null
+++ b/testing/simulator/src/simulation/index.ts
@@ -0,0 +1,7 @@
+export * from './countedLosses.js';
+export * from './disruption.js';
+export * from './replicaTrouble.js';
+export * from './simDeployments.js';
+export * from './simEnvironment.js';
+export * from './simRun.js';
+export * from './simService.js';
--- a/testing/simulator/src/sim/simFleet.ts
+++ b/testing/simulator/src/simulation/simFleet.ts
@@ -9,16 +9,12 @@
 import { Counters, quietLog, seededRandom } from '@pewterlanding/runtime';
 import type { Log } from '@pewterlanding/runtime';
 import { BatchStore } from '@pewterlanding/store';
-import type { HistoryEvent } from '../history/historyEvent.js';
-import { Instance } from './instance.js';
-import { SimClock } from './simClock.js';
-import { SimDisk } from './simDisk.js';
-import { SimMachine } from './simMachine.js';
-import { SimNet } from './simNet.js';
+import type { HistoryEvent } from '../history/index.js';
+import { Instance, SimClock, SimMachine, SimTime } from '../engine/index.js';
+import { SimDisk } from '../disk/index.js';
+import { SimNet, SimTransport } from '../network/index.js';
 import type { SimReplica } from './simReplica.js';
 import { SimReplicaTransport } from './simReplicaTransport.js';
-import { SimTime } from './simTime.js';
-import { SimTransport } from './simTransport.js';
 
 type Role = 'controller' | 'store' | 'front';
 
--- a/testing/simulator/src/sim/simReplica.ts
+++ b/testing/simulator/src/simulation/simReplica.ts
@@ -1,7 +1,6 @@
 import type { Address } from '@pewterlanding/model';
-import type { Instance } from './instance.js';
+import type { Instance, SimMachine } from '../engine/index.js';
 import type { ReplicaTrouble } from './replicaTrouble.js';
-import type { SimMachine } from './simMachine.js';
 
 interface SimService {
   readonly kind: 'streamed' | 'whole';
--- a/testing/simulator/src/sim/simReplicaTransport.ts
+++ b/testing/simulator/src/simulation/simReplicaTransport.ts
@@ -2,13 +2,11 @@
 import type { Clock } from '@pewterlanding/runtime';
 import type { ReplicaTask, ReplicaTransport, RunEnd } from '@pewterlanding/proxy';
 import * as v from 'valibot';
-import type { HistoryEvent } from '../history/historyEvent.js';
-import type { Instance } from './instance.js';
+import type { HistoryEvent } from '../history/index.js';
+import type { Instance, SimMachine, SimTime } from '../engine/index.js';
 import type { ReplicaTrouble } from './replicaTrouble.js';
-import type { SimMachine } from './simMachine.js';
-import type { SimNet } from './simNet.js';
+import type { SimNet } from '../network/index.js';
 import type { SimReplica } from './simReplica.js';
-import type { SimTime } from './simTime.js';
 
 interface SimReplicaTransportOptions {
   readonly machine: SimMachine;
--- a/testing/simulator/src/sim/simRun.ts
+++ b/testing/simulator/src/simulation/simRun.ts
@@ -1,7 +1,5 @@
-import { briefBounds } from '../history/briefBounds.js';
-import type { Violation } from '../history/violation.js';
-import type { Verdict } from '../history/verdict.js';
-import { judge } from '../history/judge.js';
+import { briefBounds, judge } from '../checkers/index.js';
+import type { Violation, Verdict } from '../checkers/index.js';
 import { Disruption } from './disruption.js';
 import { SimEnvironment } from './simEnvironment.js';
 import { SimOperators } from './simOperators.js';
--- a/tools/checkFiles.mjs
+++ b/tools/checkFiles.mjs
@@ -61,8 +61,8 @@
 function briefFindings(text) {
   const names = (pattern, of) => new Set(files.filter((file) => pattern.test(file)).flatMap((file) => [...readFileSync(file, 'utf8').matchAll(of)].map((m) => m[1])));
   const known = {
-    sim: names(/simulator\/src\/sim\/((scenarios|faults)\/\w+|partialPartitionScenarios)\.ts$/, /^  (\w+): (?:\w+\(|\{$|\{ (?:act|\.\.\.))/gm),
-    real: names(/simulator\/src\/real\/\w+Faults\.ts$/, /^  (\w+): (?:async )?\(/gm),
+    sim: names(/simulator\/src\/(scenarios|faults)\/\w+(Scenarios|Faults)\.ts$/, /^  (\w+): (?:\w+\(|\{$|\{ (?:act|\.\.\.))/gm),
+    real: names(/simulator\/src\/fleet\/\w+Faults\.ts$/, /^  (\w+): (?:async )?\(/gm),
     guard: names(/mutation\/mutations\.ts$/, /name: '(\w+)'/g),
     test: new Set(files.flatMap((file) => /\/test\/(\w+)\.test\.ts$/.exec(file)?.[1] ?? [])),
   };
