--- /dev/null
+++ b/testing/simulator/src/cli/commandHelp.ts
@@ -0,0 +1,15 @@
+import type { CommandName } from './commandName.js';
+
+/** How each command is called, and what it does. */
+export const commandHelp: Readonly<Record<CommandName, readonly [usage: string, summary: string]>> = {
+  up: ['up FOLDER', 'a real fleet with stand-in replicas, until interrupted'],
+  run: ['run FOLDER', 'a real fleet under load, with faults; measurements and the verdict of every checker'],
+  sim: ['sim', 'simulated days in virtual time, one for each seed'],
+  campaign: ['campaign', 'many simulated days over all deployments; counts by rule and by kind of fault'],
+  scenario: ['scenario NAME', 'one failure caused in virtual time, for each seed'],
+  digest: ['digest', 'histories of fixed seeds, each as a digest that does not change when fields and strings are renamed'],
+  mutations: ['mutations [NAME,...]', 'removes safeguards from a copy of the built tree: the rule must fail without, pass with each'],
+  scale: ['scale', 'message counts against the number of proxies and of waiting items'],
+  slopes: ['slopes', 'memory and CPU time of a process of each role, at five sizes (node --expose-gc)'],
+  hollow: ['hollow [N,...]', 'control planes of N nodes each in three processes, without load: the cost of a node at each size'],
+};
--- /dev/null
+++ b/testing/simulator/src/cli/flags.ts
@@ -0,0 +1,21 @@
+/** The flags of pewtersim, with their types and defaults. */
+export const flags = {
+  data: { type: 'string' },
+  seconds: { type: 'number', default: 10 },
+  faults: { type: 'string' },
+  draw: { type: 'number', default: 0 },
+  seed: { type: 'number', default: 1 },
+  seeds: { type: 'number', default: 1 },
+  days: { type: 'number', default: 100 },
+  deployment: { type: 'string', default: 'listed' },
+  beat: { type: 'number', default: 1000 },
+  announce: { type: 'number', default: 0 },
+  replicas: { type: 'number', default: 6 },
+  running: { type: 'number', default: 0 },
+  controllers: { type: 'number', default: 3 },
+  losses: { type: 'boolean', default: false },
+  compare: { type: 'string' },
+  json: { type: 'boolean', default: false },
+  ci: { type: 'boolean', default: false },
+  trace: { type: 'boolean', default: false },
+} as const;
--- a/testing/simulator/src/index.ts
+++ b/testing/simulator/src/index.ts
@@ -1,4 +1,5 @@
 export * from './checkers/index.js';
+export * from './cli/index.js';
 export * from './digest/index.js';
 export * from './disk/index.js';
 export * from './engine/index.js';
