--- a/testing/simulator/src/checkers/batchCheckers.ts
+++ b/testing/simulator/src/checkers/batchCheckers.ts
@@ -1,6 +1,6 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 import { unreadableSpans } from './unreadableSpans.js';
 
@@ -8,11 +8,11 @@
 export const batchCheckers: Readonly<Record<string, Checker>> = {
   'an accepted lot is lost, doubled or changed': (history, bounds) => {
     const violations: Violation[] = [];
-    const accepted = new Map(of(history, 'batchAccepted').map((batch) => [batch.batch, batch]));
+    const accepted = new Map(eventsOfType(history, 'batchAccepted').map((batch) => [batch.batch, batch]));
     const results = new Map<string, string>();
     const shown = new Map<string, { readonly atMs: number; readonly count: number }>();
     let judged = 0;
-    for (const read of of(history, 'batchRead')) {
+    for (const read of eventsOfType(history, 'batchRead')) {
       const batch = accepted.get(read.batch);
       if (batch === undefined) continue;
       judged += 1;
@@ -45,15 +45,15 @@
   },
 
   'an item of an ended lot starts': (history, bounds) => {
-    const ended = new Map(of(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
+    const ended = new Map(eventsOfType(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
     const runs = runsByKey(history);
-    const violations = of(history, 'ran').flatMap((run) => {
+    const violations = eventsOfType(history, 'ran').flatMap((run) => {
       const endMs = ended.get(run.key.split('/')[0] ?? '');
       const lateMs = (run.sentMs ?? run.atMs) - (endMs ?? Number.POSITIVE_INFINITY);
       return lateMs > bounds.batchEndedMs ? [{ atMs: run.atMs, what: `${run.key} started ${Math.round(lateMs)} ms after the end` }] : [];
     });
     // Only a lot that still had items to start could have gone wrong.
-    const items = of(history, 'batchAccepted').flatMap((batch) => {
+    const items = eventsOfType(history, 'batchAccepted').flatMap((batch) => {
       const endMs = ended.get(batch.batch);
       return endMs === undefined
         ? []
--- a/testing/simulator/src/checkers/checkers.ts
+++ b/testing/simulator/src/checkers/checkers.ts
@@ -3,7 +3,7 @@
 import { itemStartChecker } from './itemStartChecker.js';
 import { batchCheckers } from './batchCheckers.js';
 import { orderCheckers } from './orderCheckers.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 import { recoveryChecker } from './recoveryChecker.js';
 import { runsByKey } from './runsByKey.js';
 import { configurationCheckers } from './configurationCheckers.js';
@@ -13,7 +13,7 @@
 export const checkers: Readonly<Record<string, Checker>> = {
   'an unrepeatable task runs twice': (history) => {
     const runs = runsByKey(history);
-    const unrepeatable = of(history, 'sent').filter((sent) => !sent.idempotent && runs.has(sent.key));
+    const unrepeatable = eventsOfType(history, 'sent').filter((sent) => !sent.idempotent && runs.has(sent.key));
     const violations = unrepeatable.flatMap((sent) => {
       const second = runs.get(sent.key)?.[1];
       return second === undefined ? [] : [{ atMs: second.atMs, what: `${sent.key} ran again at ${second.replica}` }];
@@ -23,10 +23,10 @@
 
   'a refused task runs after all': (history) => {
     const runs = runsByKey(history);
-    const accepted = new Set(of(history, 'batchAccepted').map((batch) => batch.batch));
+    const accepted = new Set(eventsOfType(history, 'batchAccepted').map((batch) => batch.batch));
     const refused = [
-      ...of(history, 'told').flatMap((told) => (told.outcome === 'refused' ? [told.key] : [])),
-      ...of(history, 'batchRefused').flatMap((batch) =>
+      ...eventsOfType(history, 'told').flatMap((told) => (told.outcome === 'refused' ? [told.key] : [])),
+      ...eventsOfType(history, 'batchRefused').flatMap((batch) =>
         accepted.has(batch.batch) ? [] : batch.items.map((item) => `${batch.batch}/${item}`),
       ),
     ];
@@ -39,7 +39,7 @@
 
   'a success is not the whole, genuine return': (history) => {
     const runs = runsByKey(history);
-    const returned = of(history, 'told').filter((told) => told.outcome === 'returned');
+    const returned = eventsOfType(history, 'told').filter((told) => told.outcome === 'returned');
     const violations = returned.flatMap((told) => {
       if (told.wrong !== undefined) return [{ atMs: told.atMs, what: `${told.key}: ${told.wrong}` }];
       const { pieces } = told;
@@ -53,7 +53,7 @@
 
   'a stream loses, repeats or joins pieces': (history) => {
     const runs = runsByKey(history);
-    const streams = of(history, 'told').filter((told) => (told.pieces?.length ?? 0) > 0);
+    const streams = eventsOfType(history, 'told').filter((told) => (told.pieces?.length ?? 0) > 0);
     const violations = streams.flatMap((told) => {
       const pieces = told.pieces ?? [];
       const first = pieces[0];
@@ -88,15 +88,15 @@
   },
 
   'a task goes to a service no setup allowed': (history) => {
-    const planned = new Map(of(history, 'planned').map((plan) => [plan.plan, plan.services]));
-    const rejected = new Set(of(history, 'rejected').map((one) => one.plan));
+    const planned = new Map(eventsOfType(history, 'planned').map((plan) => [plan.plan, plan.services]));
+    const rejected = new Set(eventsOfType(history, 'rejected').map((one) => one.plan));
     // A plan whose outcome nobody learned may have allowed it.
     const allowed = new Set([...planned].flatMap(([plan, services]) => (rejected.has(plan) ? [] : services)));
-    const violations = of(history, 'ran').flatMap((run) =>
+    const violations = eventsOfType(history, 'ran').flatMap((run) =>
       allowed.has(run.service) ? [] : [{ atMs: run.atMs, what: `${run.key} ran at ${run.service}` }],
     );
     // What shows something is somebody asking for a service that was never allowed.
-    const asked = of(history, 'sent').filter((sent) => !allowed.has(sent.service)).length;
+    const asked = eventsOfType(history, 'sent').filter((sent) => !allowed.has(sent.service)).length;
     return { judged: asked, violations };
   },
 
--- a/testing/simulator/src/checkers/configurationCheckers.ts
+++ b/testing/simulator/src/checkers/configurationCheckers.ts
@@ -1,7 +1,7 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
 import type { HistoryEvent } from '../history/index.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 
 type Planned = Extract<HistoryEvent, { type: 'planned' }>;
@@ -11,10 +11,10 @@
 
 /** The plans that may be in force at a moment: the newest known to be, and those after it or of unknown outcome. */
 function possibilities(history: readonly HistoryEvent[], aboutTwoMs: number): (atMs: number) => readonly Planned[] {
-  const planned = of(history, 'planned');
-  const confirmed = of(history, 'confirmed');
+  const planned = eventsOfType(history, 'planned');
+  const confirmed = eventsOfType(history, 'confirmed');
   const versions = new Map(confirmed.map((one) => [one.plan, one.version]));
-  const rejected = new Set(of(history, 'rejected').map((one) => one.plan));
+  const rejected = new Set(eventsOfType(history, 'rejected').map((one) => one.plan));
   return (atMs) => {
     const newest = confirmed.reduce(
       (limit, one) => (one.inForce && one.atMs + aboutTwoMs <= atMs ? Math.max(limit, one.version) : limit),
@@ -31,14 +31,14 @@
     const violations: Violation[] = [];
     let judged = 0;
     // By behaviour: what no setup that may be in force allows must be refused, and must not begin.
-    const told = new Map(of(history, 'told').map((one) => [one.key, one]));
+    const told = new Map(eventsOfType(history, 'told').map((one) => [one.key, one]));
     const runs = runsByKey(history);
     const possible = possibilities(history, bounds.aboutTwoMs);
-    const confirmed = of(history, 'confirmed');
-    const changes = [...confirmed, ...of(history, 'planned')].map((one) => one.atMs);
-    const ever = new Set(of(history, 'planned').flatMap((plan) => [...plan.services, ...plan.quotas]));
+    const confirmed = eventsOfType(history, 'confirmed');
+    const changes = [...confirmed, ...eventsOfType(history, 'planned')].map((one) => one.atMs);
+    const ever = new Set(eventsOfType(history, 'planned').flatMap((plan) => [...plan.services, ...plan.quotas]));
     const turned = new Map<string, number>();
-    for (const sent of of(history, 'sent')) {
+    for (const sent of eventsOfType(history, 'sent')) {
       const { service, quota, front, kind } = sent;
       if (!ever.has(service)) continue;
       const allowed = (atMs: number): boolean => {
@@ -63,7 +63,7 @@
         if (asked && !later) violations.push({ atMs: response.atMs, what: `${front ?? ''} had refused ${service} and took ${sent.key}` });
       } else if (response.status === 403 || response.status === 404) turned.set(last, response.atMs);
     }
-    for (const batch of of(history, 'batchAccepted')) {
+    for (const batch of eventsOfType(history, 'batchAccepted')) {
       const limit = possible(batch.atMs).map((plan) => plan.maxItems);
       if (limit.length === 0 || limit.includes(undefined)) continue;
       judged += 1;
@@ -73,7 +73,7 @@
     }
     // By what fronts say of themselves: it can only speak against them.
     const seen = new Map<string, number>();
-    for (const one of of(history, 'carriedUnder')) {
+    for (const one of eventsOfType(history, 'carriedUnder')) {
       const before = seen.get(one.front) ?? 0;
       if (one.version < before) violations.push({ atMs: one.atMs, what: `${one.front} went back from ${before} to ${one.version}` });
       seen.set(one.front, Math.max(before, one.version));
@@ -86,10 +86,10 @@
 
   'a confirmed setup is forgotten, or a refused one takes effect': (history) => {
     const violations: Violation[] = [];
-    const confirmed = of(history, 'confirmed');
-    const rejected = new Set(of(history, 'rejected').map((one) => one.plan));
+    const confirmed = eventsOfType(history, 'confirmed');
+    const rejected = new Set(eventsOfType(history, 'rejected').map((one) => one.plan));
     let judged = 0;
-    for (const read of of(history, 'configurationRead')) {
+    for (const read of eventsOfType(history, 'configurationRead')) {
       const known = confirmed.filter((one) => one.atMs <= read.askedMs);
       judged += known.length;
       const newest = known.reduce((limit, one) => Math.max(limit, one.version), 0);
@@ -100,7 +100,7 @@
       for (const plan of read.plans)
         if (rejected.has(plan)) violations.push({ atMs: read.atMs, what: `${plan} was refused and took effect` });
     }
-    const bases = new Map(of(history, 'planned').map((one) => [one.plan, one.base]));
+    const bases = new Map(eventsOfType(history, 'planned').map((one) => [one.plan, one.base]));
     for (const one of confirmed) {
       const base = bases.get(one.plan);
       if (base !== undefined && base !== one.version - 1)
--- a/testing/simulator/src/checkers/orderCheckers.ts
+++ b/testing/simulator/src/checkers/orderCheckers.ts
@@ -1,12 +1,12 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 
 /** What is promised about orders that are planned, checked and confirmed in one call. */
 export const orderCheckers: Readonly<Record<string, Checker>> = {
   'an order has two outcomes, or two orders one number': (history) => {
-    const orders = new Map(of(history, 'ordered').map((one) => [one.order, one]));
-    const answers = of(history, 'orderAnswered');
+    const orders = new Map(eventsOfType(history, 'ordered').map((one) => [one.order, one]));
+    const answers = eventsOfType(history, 'orderAnswered');
     const violations: Violation[] = [];
     const first = new Map<string, string>();
     const numbers = new Map<number, string>();
@@ -29,7 +29,7 @@
       bases.set(sent.basedOn, order);
     }
     // What was taken stays: no later read shows an older number.
-    for (const read of of(history, 'configurationRead')) {
+    for (const read of eventsOfType(history, 'configurationRead')) {
       const known = answers.filter((one) => one.outcome === 'taken' && one.atMs <= read.askedMs);
       const newest = known.reduce((limit, one) => Math.max(limit, orders.get(one.order)?.revision ?? 0), 0);
       if ((read.revision ?? 0) < newest)
--- a/testing/simulator/src/checkers/recoveryChecker.ts
+++ b/testing/simulator/src/checkers/recoveryChecker.ts
@@ -1,20 +1,20 @@
 import type { Checker } from './checker.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 
 /** So many of a kind must be expected in the window before its rate says anything. */
 const minExpected = 4;
 
 /** Judges each kind of work by itself: streams that are back must not hide lots that are not. */
 export const recoveryChecker: Checker = (history, bounds) => {
-  const repaired = of(history, 'repaired').at(-1);
-  const fault = of(history, 'faulted')[0];
+  const repaired = eventsOfType(history, 'repaired').at(-1);
+  const fault = eventsOfType(history, 'faulted')[0];
   if (repaired === undefined || fault === undefined) return { judged: 0, violations: [] };
-  const kinds = new Map(of(history, 'sent').map((sent) => [sent.key, sent.kind ?? 'whole']));
+  const kinds = new Map(eventsOfType(history, 'sent').map((sent) => [sent.key, sent.kind ?? 'whole']));
   const done = new Map<string, number[]>();
   const add = (kind: string, atMs: number): void => void done.set(kind, [...(done.get(kind) ?? []), atMs]);
-  for (const told of of(history, 'told')) if (told.outcome === 'returned') add(kinds.get(told.key) ?? 'whole', told.atMs);
+  for (const told of eventsOfType(history, 'told')) if (told.outcome === 'returned') add(kinds.get(told.key) ?? 'whole', told.atMs);
   const seen = new Set<string>();
-  for (const run of of(history, 'ran')) {
+  for (const run of eventsOfType(history, 'ran')) {
     // An item's run is the earliest sign from outside that lots move; each item counts once.
     if (kinds.get(run.key) !== 'batch' || seen.has(run.key)) continue;
     seen.add(run.key);
--- a/testing/simulator/src/checkers/shareChecker.ts
+++ b/testing/simulator/src/checkers/shareChecker.ts
@@ -1,7 +1,7 @@
 import type { Checker } from './checker.js';
 import type { Violation } from './violation.js';
 import type { HistoryEvent } from '../history/index.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 
 const minuteMs = 60_000;
@@ -16,8 +16,8 @@
 /** When each item began to wait and when it no longer did: from its lot's acceptance to its first run, or its lot's end. */
 function changesOf(history: readonly HistoryEvent[]): readonly Change[] {
   const runs = runsByKey(history);
-  const ended = new Map(of(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
-  return of(history, 'batchAccepted')
+  const ended = new Map(eventsOfType(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
+  return eventsOfType(history, 'batchAccepted')
     .flatMap((batch) =>
       batch.items.flatMap((item): Change[] => {
         const ranMs = runs.get(`${batch.batch}/${item}`)?.[0]?.atMs ?? Number.POSITIVE_INFINITY;
@@ -63,7 +63,7 @@
   for (const { fromMs, toMs } of spansOf(history, [...bounds.shares.keys()])) {
     if (toMs - fromMs < minuteMs) continue;
     for (const [quota, share] of bounds.shares) {
-      const runs = of(history, 'ran').filter(
+      const runs = eventsOfType(history, 'ran').filter(
         (run) => run.quota === quota && run.key.includes('/') && run.atMs >= fromMs && run.atMs <= toMs,
       );
       judged += runs.length;
--- a/testing/simulator/src/checkers/unreadableSpans.ts
+++ b/testing/simulator/src/checkers/unreadableSpans.ts
@@ -1,5 +1,5 @@
 import type { HistoryEvent } from '../history/index.js';
-import { of } from '../history/index.js';
+import { eventsOfType } from '../history/index.js';
 
 type Read = Extract<HistoryEvent, { type: 'batchRead' }>;
 
@@ -14,8 +14,8 @@
 export function unreadableSpans(history: readonly HistoryEvent[], readableMs: number): readonly Span[] {
   const endMs = history.at(-1)?.atMs ?? 0;
   const reads = new Map<string, Read[]>();
-  for (const read of of(history, 'batchRead')) reads.set(read.batch, [...(reads.get(read.batch) ?? []), read]);
-  return of(history, 'batchAccepted').flatMap((accepted) => {
+  for (const read of eventsOfType(history, 'batchRead')) reads.set(read.batch, [...(reads.get(read.batch) ?? []), read]);
+  return eventsOfType(history, 'batchAccepted').flatMap((accepted) => {
     const own = reads.get(accepted.batch) ?? [];
     const good = own.filter((read) => read.found === 'yes').map((read) => read.atMs);
     let worst: Span | undefined;
--- a/testing/simulator/src/cli/commandLineFindings.ts
+++ b/testing/simulator/src/cli/commandLineFindings.ts
@@ -1,6 +1,6 @@
 import type { Finding } from '@pewterlanding/model';
 import { faults } from '../faults/index.js';
-import { chaos } from '../fleet/index.js';
+import { fleetFaults } from '../fleet/index.js';
 import { mutations } from '../mutation/index.js';
 import { scenarios } from '../scenarios/index.js';
 import { simDeployments } from '../simulation/index.js';
@@ -38,7 +38,7 @@
 }
 
 function flagFindings({ command, flags, unknownFlags }: CommandLine): readonly Finding[] {
-  const knownFaults = Object.keys(command === 'sim' ? faults : chaos);
+  const knownFaults = Object.keys(command === 'sim' ? faults : fleetFaults);
   const counts = countFlags.filter((flag) => !Number.isInteger(flags[flag]) || flags[flag] < 0);
   return [
     ...unknownFlags.map((flag) => ({ place: `--${flag}`, message: 'unknown flag; see pewtersim --help' })),
--- a/testing/simulator/src/digest/digest.ts
+++ b/testing/simulator/src/digest/digest.ts
@@ -9,22 +9,22 @@
 interface DigestOptions {
   /** A recorded list to compare with. */
   readonly compare: string | undefined;
-  readonly say: (line: string) => void;
+  readonly print: (line: string) => void;
 }
 
 const processes = 4;
 const worker = fileURLToPath(new URL('./digestWorker.js', import.meta.url));
 
 /** Prints a line `case events digest` for each case. False where one threw or differs from the recorded list. */
-export async function digest({ compare, say }: DigestOptions): Promise<boolean> {
+export async function digest({ compare, print }: DigestOptions): Promise<boolean> {
   const recorded = compare === undefined ? undefined : await readFile(compare, 'utf8');
   const lines: string[] = [];
   const indices = digestCases.keys();
   await Promise.all(Array.from({ length: processes }, () => work(indices, lines)));
-  for (const line of lines) say(line);
+  for (const line of lines) print(line);
   const differences = recorded === undefined ? [] : digestDifferences(recorded, lines);
-  for (const difference of differences) say(difference);
-  if (recorded !== undefined) say(`${lines.length} cases, ${differences.length} differ`);
+  for (const difference of differences) print(difference);
+  if (recorded !== undefined) print(`${lines.length} cases, ${differences.length} differ`);
   return differences.length === 0 && lines.every((line) => !line.endsWith(' threw'));
 }
 
--- a/testing/simulator/src/faults/cutFaults.ts
+++ b/testing/simulator/src/faults/cutFaults.ts
@@ -4,101 +4,101 @@
 
 /** The network is cut, loses messages, or has its connections reset. */
 export const cutFaults: Readonly<Record<string, SimFault>> = {
-  isolateController: { act: (d) => d.isolate(d.environment.pick(d.environment.machines('controller'))) },
-  isolateStore: { act: (d) => d.isolate(d.environment.pick(d.environment.machines('store'))) },
+  isolateController: { inject: (d) => d.isolate(d.environment.pickRandom(d.environment.machines('controller'))) },
+  isolateStore: { inject: (d) => d.isolate(d.environment.pickRandom(d.environment.machines('store'))) },
   isolateFront: {
-    act: (d) => {
-      d.cut([d.environment.pick(d.environment.machines('front'))], d.everybody(), d.span(...partsMs), d.cutMode());
+    inject: (d) => {
+      d.partition([d.environment.pickRandom(d.environment.machines('front'))], d.machines(), d.randomSpan(...partsMs), d.randomCutMode());
       return true;
     },
   },
   /** One controller machine hears the others, which do not hear it; or the other way round. */
   oneWayCut: {
-    act: (d) => {
-      const deaf = d.environment.pick(d.environment.machines('controller'));
-      const forMs = d.span(...partsMs);
-      if (!d.lose([deaf], forMs)) return false;
-      d.cut([deaf], d.everybody(), forMs, 'silent', d.chance(0.5) ? 'in' : 'out');
+    inject: (d) => {
+      const deaf = d.environment.pickRandom(d.environment.machines('controller'));
+      const forMs = d.randomSpan(...partsMs);
+      if (!d.reserveLoss([deaf], forMs)) return false;
+      d.partition([deaf], d.machines(), forMs, 'silent', d.chance(0.5) ? 'in' : 'out');
       return true;
     },
   },
   /** A machine that holds copies is cut from the others that do, while fronts still reach all of them. */
   keeperCut: {
-    act: (d) => {
-      const name = d.environment.pick(d.keepers());
-      const forMs = d.span(2000, 12_000);
-      if (!d.lose([name], forMs)) return false;
-      d.cut([name], d.keepers(), forMs, d.cutMode());
+    inject: (d) => {
+      const name = d.environment.pickRandom(d.stateMachineHosts());
+      const forMs = d.randomSpan(2000, 12_000);
+      if (!d.reserveLoss([name], forMs)) return false;
+      d.partition([name], d.stateMachineHosts(), forMs, d.randomCutMode());
       return true;
     },
   },
   keeperCutOneWay: {
-    act: (d) => {
-      const name = d.environment.pick(d.keepers());
-      const forMs = d.span(2000, 12_000);
-      if (!d.lose([name], forMs)) return false;
-      d.cut([name], d.keepers(), forMs, 'silent', d.chance(0.5) ? 'in' : 'out');
+    inject: (d) => {
+      const name = d.environment.pickRandom(d.stateMachineHosts());
+      const forMs = d.randomSpan(2000, 12_000);
+      if (!d.reserveLoss([name], forMs)) return false;
+      d.partition([name], d.stateMachineHosts(), forMs, 'silent', d.chance(0.5) ? 'in' : 'out');
       return true;
     },
   },
   /** The machine that leads the configuration, cut from the others that hold copies. */
   leaderCut: {
-    act: (d) => {
+    inject: (d) => {
       const name = d.environment.configurationLeader();
-      const forMs = d.span(4000, 20_000);
-      if (!d.lose([name], forMs)) return false;
-      d.cut([name], d.keepers(), forMs, d.cutMode());
+      const forMs = d.randomSpan(4000, 20_000);
+      if (!d.reserveLoss([name], forMs)) return false;
+      d.partition([name], d.stateMachineHosts(), forMs, d.randomCutMode());
       return true;
     },
   },
   /** The machine that dispatches, cut from the others that hold copies. */
   dispatcherCut: {
-    act: (d) => {
+    inject: (d) => {
       const name = d.environment.dispatcher();
-      const forMs = d.span(4000, 20_000);
-      if (!d.lose([name], forMs)) return false;
-      d.cut([name], d.keepers(), forMs, d.cutMode());
+      const forMs = d.randomSpan(4000, 20_000);
+      if (!d.reserveLoss([name], forMs)) return false;
+      d.partition([name], d.stateMachineHosts(), forMs, d.randomCutMode());
       return true;
     },
   },
   /** One controller machine here, the others there, the rest of the fleet hearing both. */
   controllersSplit: {
-    act: (d) => {
-      const lone = d.environment.pick(d.environment.machines('controller'));
-      const forMs = d.span(...partsMs);
-      if (!d.lose([lone], forMs)) return false;
-      d.cut([lone], d.environment.machines('controller'), forMs, d.cutMode());
+    inject: (d) => {
+      const lone = d.environment.pickRandom(d.environment.machines('controller'));
+      const forMs = d.randomSpan(...partsMs);
+      if (!d.reserveLoss([lone], forMs)) return false;
+      d.partition([lone], d.environment.machines('controller'), forMs, d.randomCutMode());
       return true;
     },
   },
   /** The whole controller is cut off from everybody else. */
   controllersCutOff: {
-    act: (d) => {
-      const forMs = d.span(...partsMs);
-      if (!d.loseAll(forMs)) return false;
-      d.cut(d.environment.machines('controller'), d.everybody(), forMs, d.cutMode());
+    inject: (d) => {
+      const forMs = d.randomSpan(...partsMs);
+      if (!d.reserveLossOfAll(forMs)) return false;
+      d.partition(d.environment.machines('controller'), d.machines(), forMs, d.randomCutMode());
       return true;
     },
   },
   /** Some fronts hear none of the machines that hold copies. */
   frontsCut: {
-    act: (d) => {
-      d.cut(d.some(d.environment.machines('front'), 0.2), d.keepers(), d.span(...partsMs), d.cutMode());
+    inject: (d) => {
+      d.partition(d.randomSubset(d.environment.machines('front'), 0.2), d.stateMachineHosts(), d.randomSpan(...partsMs), d.randomCutMode());
       return true;
     },
   },
   /** Some replicas are out of reach of all fronts, or of some. */
   replicasCut: {
-    act: (d) => {
-      const names = d.some(d.replicas(), 0.2).map(({ machine }) => machine.name);
-      d.cut(names, d.some(d.environment.machines('front'), 0.7), d.span(...partsMs), d.cutMode());
+    inject: (d) => {
+      const names = d.randomSubset(d.servingReplicas(), 0.2).map(({ machine }) => machine.name);
+      d.partition(names, d.randomSubset(d.environment.machines('front'), 0.7), d.randomSpan(...partsMs), d.randomCutMode());
       return true;
     },
   },
   loss: {
-    act: (d) => {
-      d.environment.fleet.net.lossRatio = d.span(0.01, 0.1);
-      d.environment.later(d.span(1000, 5000), () => {
+    inject: (d) => {
+      d.environment.fleet.net.lossRatio = d.randomSpan(0.01, 0.1);
+      d.environment.schedule(d.randomSpan(1000, 5000), () => {
         d.environment.fleet.net.lossRatio = 0;
       });
       return true;
@@ -106,11 +106,10 @@
   },
   /** Half of the connections of some machines are reset. */
   connectionsReset: {
-    act: (d) => {
+    inject: (d) => {
       const replicas = [...d.environment.fleet.replicas.values()].map(({ machine }) => machine.name);
-      for (const name of d.some(d.everybody(), 0.1))
-        for (const other of [...d.everybody(), ...replicas])
-          if (other !== name && d.chance(0.5)) d.environment.fleet.net.reset(name, other);
+      for (const name of d.randomSubset(d.machines(), 0.1))
+        for (const other of [...d.machines(), ...replicas]) if (other !== name && d.chance(0.5)) d.environment.fleet.net.reset(name, other);
       return true;
     },
   },
--- a/testing/simulator/src/faults/processFaults.ts
+++ b/testing/simulator/src/faults/processFaults.ts
@@ -2,15 +2,15 @@
 import type { SimFault } from './simFault.js';
 
 function kill(d: Disruption, name: string): boolean {
-  const backMs = d.span(500, 6000);
-  if (!d.lose([name], backMs)) return false;
+  const backMs = d.randomSpan(500, 6000);
+  if (!d.reserveLoss([name], backMs)) return false;
   d.kill(name, backMs);
   return true;
 }
 
 function freeze(d: Disruption, name: string): boolean {
-  const forMs = d.span(500, 9000);
-  if (!d.lose([name], forMs)) return false;
+  const forMs = d.randomSpan(500, 9000);
+  if (!d.reserveLoss([name], forMs)) return false;
   d.freeze(name, forMs);
   return true;
 }
@@ -20,81 +20,81 @@
   const [name, ...rest] = names;
   if (name === undefined) return true;
   const backMs = 3500;
-  if (!d.lose([name], backMs)) return false;
-  d.environment.leave(name);
-  d.environment.restart(name, backMs);
+  if (!d.reserveLoss([name], backMs)) return false;
+  d.environment.shutDown(name);
+  d.environment.scheduleRestart(name, backMs);
   const next = (): void => {
-    if (!roll(d, rest)) d.environment.later(500, next);
+    if (!roll(d, rest)) d.environment.schedule(500, next);
   };
-  if (rest.length > 0) d.environment.later(backMs + 500, next);
+  if (rest.length > 0) d.environment.schedule(backMs + 500, next);
   return true;
 }
 
 /** Processes are killed, stand still, run slowly, or are restarted. */
 export const processFaults: Readonly<Record<string, SimFault>> = {
   killFront: {
-    act: (d) => {
-      d.kill(d.environment.pick(d.environment.machines('front')), d.span(500, 4000));
+    inject: (d) => {
+      d.kill(d.environment.pickRandom(d.environment.machines('front')), d.randomSpan(500, 4000));
       return true;
     },
   },
-  killStore: { act: (d) => kill(d, d.environment.pick(d.environment.machines('store'))) },
-  killController: { act: (d) => kill(d, d.environment.pick(d.environment.machines('controller'))) },
-  killConfigurationLeader: { act: (d) => kill(d, d.environment.configurationLeader()) },
-  killDispatcher: { act: (d) => kill(d, d.environment.dispatcher()) },
+  killStore: { inject: (d) => kill(d, d.environment.pickRandom(d.environment.machines('store'))) },
+  killController: { inject: (d) => kill(d, d.environment.pickRandom(d.environment.machines('controller'))) },
+  killConfigurationLeader: { inject: (d) => kill(d, d.environment.configurationLeader()) },
+  killDispatcher: { inject: (d) => kill(d, d.environment.dispatcher()) },
   freezeFront: {
-    act: (d) => {
-      d.freeze(d.environment.pick(d.environment.machines('front')), d.span(500, 9000));
+    inject: (d) => {
+      d.freeze(d.environment.pickRandom(d.environment.machines('front')), d.randomSpan(500, 9000));
       return true;
     },
   },
-  freezeStore: { act: (d) => freeze(d, d.environment.pick(d.environment.machines('store'))) },
-  freezeConfigurationLeader: { act: (d) => freeze(d, d.environment.configurationLeader()) },
-  freezeDispatcher: { act: (d) => freeze(d, d.environment.dispatcher()) },
+  freezeStore: { inject: (d) => freeze(d, d.environment.pickRandom(d.environment.machines('store'))) },
+  freezeConfigurationLeader: { inject: (d) => freeze(d, d.environment.configurationLeader()) },
+  freezeDispatcher: { inject: (d) => freeze(d, d.environment.dispatcher()) },
   /** More than half of everything is killed at once. */
   herdKilled: {
-    act: (d) => {
+    inject: (d) => {
       const backMs = 3000;
-      if (!d.loseAll(backMs)) return false;
-      for (const name of d.some(d.everybody(), 0.6)) d.kill(name, d.span(500, backMs));
-      for (const replica of d.some(d.replicas(), 0.6)) d.crash(replica, d.span(500, backMs));
+      if (!d.reserveLossOfAll(backMs)) return false;
+      for (const name of d.randomSubset(d.machines(), 0.6)) d.kill(name, d.randomSpan(500, backMs));
+      for (const replica of d.randomSubset(d.servingReplicas(), 0.6)) d.crashReplica(replica, d.randomSpan(500, backMs));
       return true;
     },
   },
   controllersKilled: {
-    act: (d) => {
+    inject: (d) => {
       const backMs = 3000;
-      if (!d.loseAll(backMs)) return false;
-      for (const name of d.environment.machines('controller')) d.kill(name, d.span(300, backMs));
+      if (!d.reserveLossOfAll(backMs)) return false;
+      for (const name of d.environment.machines('controller')) d.kill(name, d.randomSpan(300, backMs));
       return true;
     },
   },
   everybodyKilled: {
-    act: (d) => {
+    inject: (d) => {
       const backMs = 2500;
-      if (!d.loseAll(backMs)) return false;
-      for (const name of d.everybody()) d.kill(name, d.span(300, backMs));
+      if (!d.reserveLossOfAll(backMs)) return false;
+      for (const name of d.machines()) d.kill(name, d.randomSpan(300, backMs));
       return true;
     },
   },
   /** Two that hold copies, and perhaps all fronts, run several times slower. */
   machinesSlow: {
-    act: (d) => {
-      const name = d.environment.pick(d.keepers());
-      const forMs = d.span(2000, 8000);
-      if (!d.lose([name], forMs)) return false;
-      for (const slow of [name, ...d.some(d.environment.machines('front'), 0.3)]) d.slow(slow, d.span(3, 10), forMs);
+    inject: (d) => {
+      const name = d.environment.pickRandom(d.stateMachineHosts());
+      const forMs = d.randomSpan(2000, 8000);
+      if (!d.reserveLoss([name], forMs)) return false;
+      for (const slow of [name, ...d.randomSubset(d.environment.machines('front'), 0.3)]) d.slowDown(slow, d.randomSpan(3, 10), forMs);
       return true;
     },
   },
-  controllersRoll: { act: (d) => roll(d, d.environment.machines('controller')) },
-  storesRoll: { act: (d) => roll(d, d.environment.machines('store')) },
+  controllersRoll: { inject: (d) => roll(d, d.environment.machines('controller')) },
+  storesRoll: { inject: (d) => roll(d, d.environment.machines('store')) },
   frontsRoll: {
-    act: (d) => {
+    inject: (d) => {
       d.environment.machines('front').forEach((name, position) =>
-        d.environment.later(position * 700, () => {
-          d.environment.leave(name);
-          d.environment.restart(name, 2000);
+        d.environment.schedule(position * 700, () => {
+          d.environment.shutDown(name);
+          d.environment.scheduleRestart(name, 2000);
         }),
       );
       return true;
@@ -102,12 +102,12 @@
   },
   /** The machine that leads the configuration is killed again and again. */
   leaderKilledAgain: {
-    act: (d) => {
+    inject: (d) => {
       const name = d.environment.configurationLeader();
       const times = 3;
       const everyMs = 1500;
-      if (!d.lose([name], everyMs * times)) return false;
-      for (let time = 0; time < times; time += 1) d.environment.later(time * everyMs, () => d.kill(name, everyMs / 3));
+      if (!d.reserveLoss([name], everyMs * times)) return false;
+      for (let time = 0; time < times; time += 1) d.environment.schedule(time * everyMs, () => d.kill(name, everyMs / 3));
       return true;
     },
   },
--- a/testing/simulator/src/faults/replacementFaults.ts
+++ b/testing/simulator/src/faults/replacementFaults.ts
@@ -3,51 +3,51 @@
 /** Machines are added, replaced by empty ones at other addresses, or emptied and taken away. */
 export const replacementFaults: Readonly<Record<string, SimFault>> = {
   frontAdded: {
-    act: (d) => {
-      d.environment.fleet.start(d.environment.newMachine('front'));
+    inject: (d) => {
+      d.environment.fleet.start(d.environment.addMachine('front'));
       return true;
     },
   },
   storeAdded: {
     joining: true,
-    act: (d) => {
-      d.environment.fleet.start(d.environment.newMachine('store'));
+    inject: (d) => {
+      d.environment.fleet.start(d.environment.addMachine('store'));
       return true;
     },
   },
   /** One that holds copies is gone for good, and an empty one comes at another address. */
   keeperReplaced: {
     joining: true,
-    act: (d) => {
-      const name = d.environment.pick(d.keepers());
-      const goneMs = d.span(500, 3000);
-      if (!d.lose([name], goneMs)) return false;
+    inject: (d) => {
+      const name = d.environment.pickRandom(d.stateMachineHosts());
+      const goneMs = d.randomSpan(500, 3000);
+      if (!d.reserveLoss([name], goneMs)) return false;
       const { role } = d.environment.fleet.host(name);
       d.environment.fleet.remove(name);
-      d.environment.later(goneMs, () => d.environment.fleet.start(d.environment.newMachine(role)));
+      d.environment.schedule(goneMs, () => d.environment.fleet.start(d.environment.addMachine(role)));
       return true;
     },
   },
   /** The new one comes first, then the old one leaves politely and is taken away. */
   keeperReplacedInOrder: {
     joining: true,
-    act: (d) => {
-      const name = d.environment.pick(d.keepers());
+    inject: (d) => {
+      const name = d.environment.pickRandom(d.stateMachineHosts());
       const overlapMs = 2000;
-      if (!d.lose([name], overlapMs)) return false;
-      d.environment.fleet.start(d.environment.newMachine(d.environment.fleet.host(name).role));
-      d.environment.later(overlapMs, () => d.environment.takeAway(name));
+      if (!d.reserveLoss([name], overlapMs)) return false;
+      d.environment.fleet.start(d.environment.addMachine(d.environment.fleet.host(name).role));
+      d.environment.schedule(overlapMs, () => d.environment.decommission(name));
       return true;
     },
   },
   /** A store more than is needed joins; another is emptied and taken away once that is settled. */
   storeRetired: {
     joining: true,
-    act: (d) => {
-      const name = d.environment.pick(d.environment.machines('store'));
-      if (!d.lose([], 0) || d.environment.losses.free() === 0) return false;
-      d.environment.fleet.start(d.environment.newMachine('store'));
-      d.environment.later(1500, () => void d.environment.retire(name));
+    inject: (d) => {
+      const name = d.environment.pickRandom(d.environment.machines('store'));
+      if (!d.reserveLoss([], 0) || d.environment.losses.free() === 0) return false;
+      d.environment.fleet.start(d.environment.addMachine('store'));
+      d.environment.schedule(1500, () => void d.environment.emptyAndRemove(name));
       return true;
     },
   },
--- a/testing/simulator/src/faults/simFault.ts
+++ b/testing/simulator/src/faults/simFault.ts
@@ -3,7 +3,7 @@
 /** One trouble as one act, which also brings about its own repair. */
 export interface SimFault {
   /** False where it has to wait its turn: more machines that hold copies would be lost at once than is survived. */
-  readonly act: (disruption: Disruption) => boolean;
+  readonly inject: (disruption: Disruption) => boolean;
   /** Only where controllers and stores join by announcing themselves. */
   readonly joining?: true;
 }
--- a/testing/simulator/src/fleet/fleet.ts
+++ b/testing/simulator/src/fleet/fleet.ts
@@ -10,7 +10,7 @@
 import { Daemon } from './daemon.js';
 import type { Deployment } from './deployment.js';
 import { Links } from './links.js';
-import { until } from './until.js';
+import { pollUntil } from './pollUntil.js';
 
 interface FleetOptions {
   readonly deployment: Deployment;
@@ -87,7 +87,7 @@
     await mkdir(this.#options.folder, { recursive: true });
     await this.#relayAll();
     for (const daemon of this.daemons.values()) daemon.start();
-    await until('the controller serves', async () => (await this.controller('GET', '/ready')).status === 200, 30_000);
+    await pollUntil('the controller serves', async () => (await this.controller('GET', '/ready')).status === 200, 30_000);
   }
 
   /** Once a setup is in force: waits for the fronts, and starts the replicas until every front knows them. */
@@ -97,17 +97,17 @@
     const services = this.#options.deployment.replicas.reduce((sum, replica) => sum + Object.keys(replica.services).length, 0);
     const all = async (): Promise<boolean> =>
       (await Promise.all(this.fronts().map((front) => this.known(front)))).every((known) => known === services);
-    await until('replicas are known to all', all, 15_000);
+    await pollUntil('replicas are known to all', all, 15_000);
   }
 
-  async ready(patienceMs: number): Promise<void> {
+  async ready(timeoutMs: number): Promise<void> {
     const all = async (): Promise<boolean> =>
       (await Promise.all(this.fronts().map((front) => ask('GET', front, '/ready')))).every((response) => response.status === 200);
-    await until('every front is ready', all, patienceMs);
+    await pollUntil('every front is ready', all, timeoutMs);
   }
 
   /** Waits until the process at this boot serves: one that is told to end while it is still being loaded dies of the signal. */
-  async serves(key: string, patienceMs: number): Promise<void> {
+  async serves(key: string, timeoutMs: number): Promise<void> {
     const http = this.#boots.get(key)?.http;
     if (http === undefined) throw new Error(`no HTTP at ${key}`);
     const up = (): Promise<boolean> =>
@@ -115,7 +115,7 @@
         (response) => response.status === 200,
         () => false,
       );
-    await until(`${key} serves`, up, patienceMs);
+    await pollUntil(`${key} serves`, up, timeoutMs);
   }
 
   /** Starts an empty machine of a kind, under the next free name and address. */
--- a/testing/simulator/src/fleet/fleetDay.ts
+++ b/testing/simulator/src/fleet/fleetDay.ts
@@ -2,12 +2,12 @@
 import * as v from 'valibot';
 import { briefBounds, judge, unreadableSpans, verdictLine } from '../checkers/index.js';
 import type { HistoryEvent } from '../history/index.js';
-import { chaos } from './chaos.js';
-import { Drive } from './drive.js';
+import { fleetFaults } from './fleetFaults.js';
+import { LoadGenerator } from './loadGenerator.js';
 import { Fleet } from './fleet.js';
 import { linkFaults } from './linkFaults.js';
 import { Operator } from './operator.js';
-import { pass } from './pass.js';
+import { sleep } from './sleep.js';
 import { quantile } from './quantile.js';
 import { readDeployment } from './readDeployment.js';
 import { waitingShares } from './waitingShares.js';
@@ -19,7 +19,7 @@
   readonly seed: number;
   readonly faults: readonly string[];
   readonly net?: number;
-  readonly say: (line: string) => void;
+  readonly print: (line: string) => void;
 }
 
 const ServiceRegistry = v.record(v.string(), v.object({ idempotent: v.boolean(), kind: v.picklist(['streamed', 'whole']) }));
@@ -28,7 +28,7 @@
 
 /** A whole deployment under its traffic: a quiet phase, the faults, the recovery; then the verdicts and figures. */
 export async function fleetDay(options: FleetDayOptions): Promise<boolean> {
-  const { say, seconds } = options;
+  const { print, seconds } = options;
   const random = seededRandom(options.seed);
   const history: HistoryEvent[] = [];
   const note = (one: HistoryEvent): void => void history.push(one);
@@ -44,7 +44,7 @@
     ran: (run) => note({ type: 'ran', ...run, quota: drive.quotaOf(run.key) }),
   });
   const { traffic } = read.deployment;
-  const drive = new Drive({
+  const drive = new LoadGenerator({
     fleet,
     traffic,
     idempotent: new Set(services.flatMap(([name, service]) => (service.idempotent ? [name] : []))),
@@ -68,60 +68,60 @@
     await fleet.start();
     if ((await operator.first(read.configuration)) === undefined) throw new Error('the setup was not confirmed');
     await fleet.open();
-    say(`${fleet.daemons.size} processes, ${fleet.replicas.length} stand-ins up after ${((Date.now() - startMs) / 1000).toFixed(1)} s`);
+    print(`${fleet.daemons.size} processes, ${fleet.replicas.length} stand-ins up after ${((Date.now() - startMs) / 1000).toFixed(1)} s`);
     drive.start();
     reading = setInterval(() => void operator.readBack(), readBackMs);
     const quietMs = Date.now();
-    await pass(seconds * 1000);
+    await sleep(seconds * 1000);
     spans.push({ name: 'quiet', fromMs: quietMs, toMs: Date.now() });
     for (const name of options.faults) {
-      const act = chaos[name];
+      const act = fleetFaults[name];
       if (act === undefined) throw new Error(`no fault ${name}`);
       const fromMs = Date.now();
       note({ type: 'faulted', atMs: fromMs, what: name });
       let took = false;
       const say2 = (target: string, evidence: string): void => {
         took = true;
-        say(`fault ${name} at ${target}: ${evidence}`);
+        print(`fault ${name} at ${target}: ${evidence}`);
       };
-      await act({ fleet, drive, operator, traffic, random, note, took: say2 });
+      await act({ fleet, load: drive, operator, traffic, random, note, noteEffect: say2 });
       if (!took) {
         held = false;
-        say(`fault ${name}: DID NOTHING`);
+        print(`fault ${name}: DID NOTHING`);
       }
       spans.push({ name, fromMs, toMs: Date.now() });
     }
     note({ type: 'repaired', atMs: Date.now() });
-    await pass(recoverMs);
+    await sleep(recoverMs);
     drive.stop();
-    for (let waits = 0; waits < 60 && drive.openBatches() > 0; waits += 1) await pass(500);
-    await pass(3000);
+    for (let waits = 0; waits < 60 && drive.openBatches() > 0; waits += 1) await sleep(500);
+    await sleep(3000);
   } finally {
     clearInterval(reading);
     drive.stop();
     await drive.close();
     const clean = (await fleet.stop()).length === 0;
-    say(clean ? 'every process ended politely' : 'some process did not end politely');
+    print(clean ? 'every process ended politely' : 'some process did not end politely');
   }
-  report(history, say);
+  report(history, print);
   for (const [service, times] of latency) {
     for (const { name, fromMs, toMs } of spans) {
       const sorted = times.flatMap((one) => (one.atMs >= fromMs && one.atMs < toMs ? [one.waitMs] : [])).sort((a, b) => a - b);
       if (sorted.length > 0)
-        say(`  ${service} in ${name}: ${sorted.length}, first byte p50 ${quantile(sorted, 0.5)} ms, p99 ${quantile(sorted, 0.99)} ms`);
+        print(`  ${service} in ${name}: ${sorted.length}, first byte p50 ${quantile(sorted, 0.5)} ms, p99 ${quantile(sorted, 0.99)} ms`);
     }
   }
-  say(`lots not read to the end: ${drive.openBatches()}`);
+  print(`lots not read to the end: ${drive.openBatches()}`);
   const verdicts = judge(history, {
     ...briefBounds,
     takeoverMs: briefBounds.recoveryMs,
     shares: waitingShares(read.configuration, traffic),
   });
-  for (const verdict of verdicts) say(verdictLine(verdict));
+  for (const verdict of verdicts) print(verdictLine(verdict));
   return held && verdicts.every(({ violations }) => violations.length === 0);
 }
 
-function report(history: readonly HistoryEvent[], say: (line: string) => void): void {
+function report(history: readonly HistoryEvent[], print: (line: string) => void): void {
   const outcomes: Record<string, number> = {};
   let accepted = 0;
   for (const one of history) {
@@ -138,6 +138,6 @@
   )
     .map((span) => span.waitedMs)
     .sort((a, b) => a - b);
-  say(`live: ${told.join(', ')}`);
-  say(`lots: ${accepted} accepted; the longest any could not be read, after its first second: ${Math.round(waits.at(-1) ?? 0)} ms`);
+  print(`live: ${told.join(', ')}`);
+  print(`lots: ${accepted} accepted; the longest any could not be read, after its first second: ${Math.round(waits.at(-1) ?? 0)} ms`);
 }
--- a/testing/simulator/src/fleet/chaos.ts
+++ b/testing/simulator/src/fleet/fleetFaults.ts
@@ -1,4 +1,4 @@
-import type { Act } from './act.js';
+import type { FleetFault } from './fleetFault.js';
 import { linkFaults } from './linkFaults.js';
 import { loadFaults } from './loadFaults.js';
 import { operatorFaults } from './operatorFaults.js';
@@ -6,4 +6,10 @@
 import { replicaFaults } from './replicaFaults.js';
 
 /** Faults on real processes: by signal, by wiping folders, by relays between machines, by stand-ins that go. Each repairs itself. */
-export const chaos: Readonly<Record<string, Act>> = { ...processFaults, ...replicaFaults, ...linkFaults, ...operatorFaults, ...loadFaults };
+export const fleetFaults: Readonly<Record<string, FleetFault>> = {
+  ...processFaults,
+  ...replicaFaults,
+  ...linkFaults,
+  ...operatorFaults,
+  ...loadFaults,
+};
--- a/testing/simulator/src/fleet/linkFaults.ts
+++ b/testing/simulator/src/fleet/linkFaults.ts
@@ -1,20 +1,25 @@
-import type { Act } from './act.js';
-import { aim } from './aim.js';
-import type { Ground } from './ground.js';
+import type { FleetFault } from './fleetFault.js';
+import { targets } from './targets.js';
+import type { FaultContext } from './faultContext.js';
 import type { Link } from './link.js';
-import { pass } from './pass.js';
+import { sleep } from './sleep.js';
 
 const stall: Link = { kind: 'stall', delayMs: 0 };
 const cutMs = 8000;
 
 /** Sets links between machines for a while, then mends all of them; the relays tell whether anything was held. */
-async function cut({ fleet, took }: Ground, pairs: readonly (readonly [string, string])[], link: Link, forMs = cutMs): Promise<void> {
+async function cut(
+  { fleet, noteEffect: took }: FaultContext,
+  pairs: readonly (readonly [string, string])[],
+  link: Link,
+  forMs = cutMs,
+): Promise<void> {
   const links = fleet.links;
   if (links === undefined) throw new Error('this fleet runs without relays');
   const hosts = pairs.map(([from, to]) => [fleet.hostOf(from), fleet.hostOf(to)] as const);
   const before = hosts.map(([from, to]) => links.touched(from, to));
   for (const [from, to] of hosts) links.set(from, to, link);
-  await pass(forMs);
+  await sleep(forMs);
   const held = hosts.filter(([from, to], position) => links.touched(from, to) > (before[position] ?? 0)).length;
   links.heal();
   const names = [...new Set(pairs.map(([from, to]) => `${from}>${to}`))];
@@ -25,8 +30,8 @@
     );
 }
 
-const all = (ground: Ground): readonly string[] =>
-  (['controller', 'store', 'front'] as const).flatMap((kind) => aim.names(ground.fleet, kind));
+const all = (context: FaultContext): readonly string[] =>
+  (['controller', 'store', 'front'] as const).flatMap((kind) => targets.names(context.fleet, kind));
 const both = (here: readonly string[], there: readonly string[]) =>
   here.flatMap((a) =>
     there
@@ -39,46 +44,46 @@
           ] as const,
       ),
   );
-const isolate = (ground: Ground, name: string): Promise<void> => cut(ground, both([name], all(ground)), stall);
+const isolate = (context: FaultContext, name: string): Promise<void> => cut(context, both([name], all(context)), stall);
 
 /** Cuts and slow links between the machines of a real fleet. Replicas and callers are still reached. */
-export const linkFaults: Readonly<Record<string, Act>> = {
+export const linkFaults: Readonly<Record<string, FleetFault>> = {
   /** One controller machine here, two there, the rest of the fleet hearing both. */
-  controllersSplit: (ground) => {
-    const [lone, ...rest] = [...aim.names(ground.fleet, 'controller')].sort(() => ground.random() - 0.5);
-    return cut(ground, both([lone ?? ''], rest), stall);
+  controllersSplit: (context) => {
+    const [lone, ...rest] = [...targets.names(context.fleet, 'controller')].sort(() => context.random() - 0.5);
+    return cut(context, both([lone ?? ''], rest), stall);
   },
   /** The whole controller is cut off from everybody else, for longer than fronts stay fresh. */
-  controllersCutOff: (ground) => {
-    const controllers = aim.names(ground.fleet, 'controller');
+  controllersCutOff: (context) => {
+    const controllers = targets.names(context.fleet, 'controller');
     return cut(
-      ground,
+      context,
       both(
         controllers,
-        all(ground).filter((name) => !controllers.includes(name)),
+        all(context).filter((name) => !controllers.includes(name)),
       ),
       stall,
     );
   },
-  isolateController: (ground) => isolate(ground, aim.pick(aim.names(ground.fleet, 'controller'), ground.random)),
-  isolateConfigurationLeader: async (ground) => isolate(ground, await aim.owner(ground.fleet, 'setup')),
-  isolateStore: (ground) => isolate(ground, aim.pick(aim.names(ground.fleet, 'store'), ground.random)),
-  isolateBatchLeader: async (ground) => isolate(ground, await aim.owner(ground.fleet, 'lots-0')),
-  isolateFront: (ground) => isolate(ground, aim.pick(aim.names(ground.fleet, 'front'), ground.random)),
+  isolateController: (context) => isolate(context, targets.pickRandom(targets.names(context.fleet, 'controller'), context.random)),
+  isolateConfigurationLeader: async (context) => isolate(context, await targets.shardLeader(context.fleet, 'setup')),
+  isolateStore: (context) => isolate(context, targets.pickRandom(targets.names(context.fleet, 'store'), context.random)),
+  isolateBatchLeader: async (context) => isolate(context, await targets.shardLeader(context.fleet, 'lots-0')),
+  isolateFront: (context) => isolate(context, targets.pickRandom(targets.names(context.fleet, 'front'), context.random)),
   /** A controller machine hears the others, which do not hear it; or the other way round. */
-  oneWayCut: (ground) => {
-    const deaf = aim.pick(aim.names(ground.fleet, 'controller'), ground.random);
-    const others = all(ground).filter((name) => name !== deaf);
-    const inward = ground.random() < 0.5;
+  oneWayCut: (context) => {
+    const deaf = targets.pickRandom(targets.names(context.fleet, 'controller'), context.random);
+    const others = all(context).filter((name) => name !== deaf);
+    const inward = context.random() < 0.5;
     return cut(
-      ground,
+      context,
       others.map((other): readonly [string, string] => (inward ? [other, deaf] : [deaf, other])),
       stall,
     );
   },
   /** Everything between machines takes a fifth of a second longer each way. */
-  slowLinks: (ground) => cut(ground, both(all(ground), all(ground)), { kind: 'pass', delayMs: 200 }),
+  slowLinks: (context) => cut(context, both(all(context), all(context)), { kind: 'pass', delayMs: 200 }),
   /** Every circuit between stores and fronts breaks off, and again for as long as it lasts. */
-  brokenLinks: (ground) =>
-    cut(ground, both(aim.names(ground.fleet, 'store'), aim.names(ground.fleet, 'front')), { kind: 'drop', delayMs: 0 }, 2000),
+  brokenLinks: (context) =>
+    cut(context, both(targets.names(context.fleet, 'store'), targets.names(context.fleet, 'front')), { kind: 'drop', delayMs: 0 }, 2000),
 };
--- a/testing/simulator/src/fleet/drive.ts
+++ b/testing/simulator/src/fleet/loadGenerator.ts
@@ -41,7 +41,7 @@
 const final = new Set([400, 403, 404, 409, 413, 422]);
 
 /** The brief's traffic against a real fleet, at the brief's rates, spread over ready fronts as the platform would. */
-export class Drive {
+export class LoadGenerator {
   readonly #options: DriveOptions;
   readonly #caller: Caller;
   readonly #batches: OpenBatch[] = [];
--- a/testing/simulator/src/fleet/operatorFaults.ts
+++ b/testing/simulator/src/fleet/operatorFaults.ts
@@ -1,70 +1,70 @@
-import type { Act } from './act.js';
-import { aim } from './aim.js';
-import type { Ground } from './ground.js';
-import { pass } from './pass.js';
-import { until } from './until.js';
+import type { FleetFault } from './fleetFault.js';
+import { targets } from './targets.js';
+import type { FaultContext } from './faultContext.js';
+import { sleep } from './sleep.js';
+import { pollUntil } from './pollUntil.js';
 
-async function change({ operator }: Ground, part: Record<string, unknown>): Promise<number> {
+async function change({ operator }: FaultContext, part: Record<string, unknown>): Promise<number> {
   for (let attempts = 0; attempts < 10; attempts += 1) {
     const version = await operator.change(part).catch(() => undefined);
     if (version !== undefined) return version;
-    await pass(1000);
+    await sleep(1000);
   }
   throw new Error(`not confirmed: ${JSON.stringify(part).slice(0, 200)}`);
 }
 
 /** Starts an empty machine of a kind under a new name and address, and lets the setup know it. */
-async function add(ground: Ground, kind: 'controller' | 'store', instead: string | undefined): Promise<string> {
-  const place = await ground.fleet.addMachine(kind);
+async function add(context: FaultContext, kind: 'controller' | 'store', instead: string | undefined): Promise<string> {
+  const place = await context.fleet.addMachine(kind);
   const rows = { ...(instead === undefined ? {} : { [instead]: null }), [place.name]: { address: place.address, zone: place.zone } };
-  await change(ground, kind === 'controller' ? { controllers: rows } : { stores: rows });
+  await change(context, kind === 'controller' ? { controllers: rows } : { stores: rows });
   return place.name;
 }
 
-async function replace(ground: Ground, kind: 'controller' | 'store'): Promise<void> {
-  const { fleet, random, took } = ground;
-  const gone = aim.pick(aim.names(fleet, kind), random);
-  const [daemon] = aim.daemons(fleet, gone);
+async function replace(context: FaultContext, kind: 'controller' | 'store'): Promise<void> {
+  const { fleet, random, noteEffect: took } = context;
+  const gone = targets.pickRandom(targets.names(fleet, kind), random);
+  const [daemon] = targets.daemons(fleet, gone);
   daemon?.signal('SIGKILL');
   await daemon?.over();
   fleet.forget(gone);
   await fleet.loseDisk(gone);
-  const name = await add(ground, kind, gone);
-  await until('the new machine counts everywhere', () => aim.settled(fleet), 30_000);
+  const name = await add(context, kind, gone);
+  await pollUntil('the new machine counts everywhere', () => targets.settled(fleet), 30_000);
   took(`${gone} by ${name}`, 'every part is served and no seat lags or only follows');
 }
 
 /** What operators do, alone and against each other, some of it while something else fails. */
-export const operatorFaults: Readonly<Record<string, Act>> = {
-  replaceController: (ground) => replace(ground, 'controller'),
-  replaceStore: (ground) => replace(ground, 'store'),
+export const operatorFaults: Readonly<Record<string, FleetFault>> = {
+  replaceController: (context) => replace(context, 'controller'),
+  replaceStore: (context) => replace(context, 'store'),
 
   /** A store is added, another emptied, and a third killed while copies move. */
-  emptyStore: async (ground) => {
-    const { fleet, random, took } = ground;
-    const stores = aim.names(fleet, 'store');
-    const emptied = aim.pick(stores, random);
-    const added = await add(ground, 'store', undefined);
-    await change(ground, { emptying: [emptied] });
-    const killed = aim.pick(
+  emptyStore: async (context) => {
+    const { fleet, random, noteEffect: took } = context;
+    const stores = targets.names(fleet, 'store');
+    const emptied = targets.pickRandom(stores, random);
+    const added = await add(context, 'store', undefined);
+    await change(context, { emptying: [emptied] });
+    const killed = targets.pickRandom(
       stores.filter((name) => name !== emptied),
       random,
     );
-    const [daemon] = aim.daemons(fleet, killed);
+    const [daemon] = targets.daemons(fleet, killed);
     daemon?.signal('SIGKILL');
     await daemon?.over();
-    await pass(3000);
+    await sleep(3000);
     daemon?.start();
-    await until(`${emptied} is empty`, async () => (await aim.settled(fleet)) && !(await fleet.sits(emptied)), 60_000);
+    await pollUntil(`${emptied} is empty`, async () => (await targets.settled(fleet)) && !(await fleet.sits(emptied)), 60_000);
     took(emptied, `${added} was added, ${killed} killed meanwhile; no part sits there any more`);
-    await change(ground, { stores: { [emptied]: null }, emptying: [] });
-    const [old] = aim.daemons(fleet, emptied);
+    await change(context, { stores: { [emptied]: null }, emptying: [] });
+    const [old] = targets.daemons(fleet, emptied);
     await old?.stop();
     fleet.forget(emptied);
   },
 
   /** Two operators at once, three times. */
-  operators: async ({ operator, took }) => {
+  operators: async ({ operator, noteEffect: took }) => {
     let won = 0;
     for (let round = 0; round < 3; round += 1) {
       const versions = await Promise.all(
@@ -76,55 +76,55 @@
   },
 
   /** A service and a branch that callers use are pruned for a while. */
-  prune: async (ground) => {
-    const { operator, traffic, took } = ground;
+  prune: async (context) => {
+    const { operator, traffic, noteEffect: took } = context;
     const service = traffic.find((one) => one.batchItems === undefined && one.perSecond < 20)?.service ?? '';
     const quota = traffic[0]?.quotas.at(-1) ?? '';
     const { services, branches: quotas } = await operator.configuration();
-    const version = await change(ground, { services: { [service]: null }, quotas: { [quota]: null } });
-    await pass(6000);
+    const version = await change(context, { services: { [service]: null }, quotas: { [quota]: null } });
+    await sleep(6000);
     took(`${service}, ${quota}`, `pruned under version ${version}`);
-    await change(ground, { services: { [service]: rowOf(services, service) }, quotas: { [quota]: rowOf(quotas, quota) } });
-    await pass(2000);
+    await change(context, { services: { [service]: rowOf(services, service) }, quotas: { [quota]: rowOf(quotas, quota) } });
+    await sleep(2000);
   },
 
   /** Changes in quick succession while the setup's leader is killed. */
-  configurationBurst: async (ground) => {
-    const { fleet, took } = ground;
-    const owner = await aim.owner(fleet, 'setup');
+  configurationBurst: async (context) => {
+    const { fleet, noteEffect: took } = context;
+    const owner = await targets.shardLeader(fleet, 'setup');
     let confirmed = 0;
     for (let number = 0; number < 8; number += 1) {
-      if (number === 3) aim.daemons(fleet, owner)[0]?.signal('SIGKILL');
+      if (number === 3) targets.daemons(fleet, owner)[0]?.signal('SIGKILL');
       confirmed +=
-        (await ground.operator.change({ bounds: { requeueAttempts: 400 + number } }).catch(() => undefined)) === undefined ? 0 : 1;
+        (await context.operator.change({ bounds: { requeueAttempts: 400 + number } }).catch(() => undefined)) === undefined ? 0 : 1;
     }
-    aim.daemons(fleet, owner)[0]?.start();
+    targets.daemons(fleet, owner)[0]?.start();
     if (confirmed > 0) took(`the setup, and ${owner} killed`, `${confirmed} of 8 changes were confirmed`);
   },
 
   /** Thousands of branches and services, confirmed and pruned again, with a front killed meanwhile. */
-  largeConfiguration: async (ground) => {
-    const { fleet, operator, random, took } = ground;
+  largeConfiguration: async (context) => {
+    const { fleet, operator, random, noteEffect: took } = context;
     const { services } = await operator.configuration();
-    const like = rowOf(services, ground.traffic[0]?.service ?? '');
+    const like = rowOf(services, context.traffic[0]?.service ?? '');
     const many = <T>(row: (number: number) => T): Record<string, T> =>
       Object.fromEntries(Array.from({ length: 1500 }, (_, number) => [`extra-${number}`, row(number)]));
-    const parent = ground.traffic[0]?.quotas[0] ?? '';
+    const parent = context.traffic[0]?.quotas[0] ?? '';
     const startMs = Date.now();
-    const confirming = change(ground, { services: many(() => like), quotas: many(() => ({ parent, share: 0.0001 })) });
-    const name = aim.pick(aim.names(fleet, 'front'), random);
-    const daemons = aim.daemons(fleet, name);
+    const confirming = change(context, { services: many(() => like), quotas: many(() => ({ parent, share: 0.0001 })) });
+    const name = targets.pickRandom(targets.names(fleet, 'front'), random);
+    const daemons = targets.daemons(fleet, name);
     for (const daemon of daemons) daemon.signal('SIGKILL');
     await Promise.all(daemons.map((daemon) => daemon.over()));
-    await pass(1500);
+    await sleep(1500);
     for (const daemon of daemons) daemon.start();
     const version = await confirming;
     took(`the setup, and ${name} killed`, `3,000 rows in force under version ${version} after ${Date.now() - startMs} ms`);
     await fleet.ready(20_000);
     const smallMs = Date.now();
-    await change(ground, { bounds: { requeueAttempts: 450 } });
+    await change(context, { bounds: { requeueAttempts: 450 } });
     took('the large setup', `one bound changed in ${Date.now() - smallMs} ms`);
-    await change(ground, { services: many(() => null), quotas: many(() => null) });
+    await change(context, { services: many(() => null), quotas: many(() => null) });
   },
 };
 
--- a/testing/simulator/src/fleet/until.ts
+++ b/testing/simulator/src/fleet/pollUntil.ts
@@ -1,9 +1,9 @@
 /** Asks again until it holds; for the real fleet only, where there is nothing to await. */
-export async function until(what: string, holds: () => Promise<boolean>, patienceMs: number): Promise<void> {
-  const endMs = Date.now() + patienceMs;
+export async function pollUntil(what: string, holds: () => Promise<boolean>, timeoutMs: number): Promise<void> {
+  const endMs = Date.now() + timeoutMs;
   while (Date.now() < endMs) {
     if (await holds().catch(() => false)) return;
     await new Promise((resolve) => setTimeout(resolve, 100));
   }
-  throw new Error(`not in ${patienceMs} ms: ${what}`);
+  throw new Error(`not in ${timeoutMs} ms: ${what}`);
 }
--- a/testing/simulator/src/fleet/pass.ts
+++ b/testing/simulator/src/fleet/sleep.ts
@@ -1,4 +1,4 @@
 /** Lets real time go by; for the real fleet only. */
-export function pass(waitMs: number): Promise<void> {
+export function sleep(waitMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, waitMs));
 }
--- a/testing/simulator/src/fleet/aim.ts
+++ b/testing/simulator/src/fleet/targets.ts
@@ -4,7 +4,7 @@
 import type { Fleet } from './fleet.js';
 
 /** Finds the machines that faults aim at. Who is not known is an error, never a guess. */
-export const aim = {
+export const targets = {
   /** The daemons of one machine: a front's proxy and agent go together. */
   daemons: (fleet: Fleet, name: string): readonly Daemon[] => {
     const found = [...fleet.daemons.values()].filter((daemon) => daemon.name === name || daemon.name.startsWith(`${name}.`));
@@ -16,26 +16,26 @@
     ...new Set([...fleet.daemons.keys()].filter((key) => key.startsWith(`${kind}-`)).map((key) => key.split('.')[0] ?? key)),
   ],
 
-  pick: <T>(all: readonly T[], random: () => number): T => {
+  pickRandom: <T>(all: readonly T[], random: () => number): T => {
     const one = all[Math.floor(random() * all.length)];
     if (one === undefined) throw new Error('nothing to pick from');
     return one;
   },
 
   /** The machine that holds the dispatcher's duty. */
-  holder: async (fleet: Fleet): Promise<string> => {
+  dispatcher: async (fleet: Fleet): Promise<string> => {
     const read = check(views.duties, (await fleet.controller('GET', '/v1/duties')).body);
-    const holder = read.ok ? read.value.duties['dispatch']?.holder : undefined;
-    if (holder === undefined) throw new Error('nobody holds the dispatcher duty');
-    return holder;
+    const dispatcher = read.ok ? read.value.duties['dispatch']?.holder : undefined;
+    if (dispatcher === undefined) throw new Error('nobody holds the dispatcher duty');
+    return dispatcher;
   },
 
   /** The machine that leads a shard. */
-  owner: async (fleet: Fleet, shard: string): Promise<string> => {
+  shardLeader: async (fleet: Fleet, shard: string): Promise<string> => {
     const read = check(views.shards, (await fleet.controller('GET', '/v1/shards')).body);
-    const owner = read.ok ? read.value.shards.find((one) => one.shard === shard)?.view?.leader : undefined;
-    if (owner === undefined) throw new Error(`nobody is known to own ${shard}`);
-    return owner;
+    const shardLeader = read.ok ? read.value.shards.find((one) => one.shard === shard)?.view?.leader : undefined;
+    if (shardLeader === undefined) throw new Error(`nobody is known to own ${shard}`);
+    return shardLeader;
   },
 
   /** True when every shard is served and none of its seats lags or only follows. */
--- a/testing/simulator/src/history/of.ts
+++ b/testing/simulator/src/history/eventsOfType.ts
@@ -1,7 +1,7 @@
 import type { HistoryEvent } from './historyEvent.js';
 
 /** The happenings of one kind, in order. */
-export function of<T extends HistoryEvent['type']>(history: readonly HistoryEvent[], t: T): Extract<HistoryEvent, { type: T }>[] {
+export function eventsOfType<T extends HistoryEvent['type']>(history: readonly HistoryEvent[], t: T): Extract<HistoryEvent, { type: T }>[] {
   const found: Extract<HistoryEvent, { type: T }>[] = [];
   for (const one of history) if (is(one, t)) found.push(one);
   return found;
--- a/testing/simulator/src/history/index.ts
+++ b/testing/simulator/src/history/index.ts
@@ -1,3 +1,3 @@
 export * from './historyDigest.js';
 export * from './historyEvent.js';
-export * from './of.js';
+export * from './eventsOfType.js';
--- a/testing/simulator/src/hollow/hollowFleet.ts
+++ b/testing/simulator/src/hollow/hollowFleet.ts
@@ -7,16 +7,16 @@
 import * as v from 'valibot';
 import type { NodeName } from '@pewterlanding/model';
 import type { HollowOptions } from './hollowOptions.js';
-import type { HollowOrder } from './hollowOrder.js';
+import type { HollowRequest } from './hollowRequest.js';
 import type { HollowPlace } from './hollowPlace.js';
 import { hollowPlaces } from './hollowPlaces.js';
-import { HollowWord } from './hollowWord.js';
+import { HollowResponse } from './hollowResponse.js';
 import { monotonicMs } from './monotonicMs.js';
 
 const workers = 3;
 const heapMb = 3000;
 const lookMs = 100;
-const Envelope = v.strictObject({ id: v.number(), word: HollowWord });
+const Envelope = v.strictObject({ id: v.number(), word: HollowResponse });
 
 /** A hollow fleet in three processes, as its driver holds it: controllers and stores in the first, fronts in the others. */
 export class HollowFleet {
@@ -24,7 +24,7 @@
   readonly begunMs = monotonicMs();
   readonly #options: HollowOptions;
   readonly #children: ChildProcess[] = [];
-  readonly #waiting = new Map<number, (word: HollowWord) => void>();
+  readonly #waiting = new Map<number, (word: HollowResponse) => void>();
   readonly #away = new Set<NodeName>();
   #orders = 0;
 
@@ -76,22 +76,22 @@
   }
 
   /** Puts a word on one board. Returns how long it took until every node that is here heard it. */
-  async spread(name: NodeName, key: string, patienceMs: number): Promise<number | undefined> {
+  async spread(name: NodeName, key: string, timeoutMs: number): Promise<number | undefined> {
     const worker = this.places.find((place) => place.name === name)?.worker ?? 0;
     const { atMs = 0 } = await this.#order(worker, { kind: 'put', name, key });
-    return this.#heard(key, atMs, patienceMs);
+    return this.#heard(key, atMs, timeoutMs);
   }
 
   /** Confirms a setup: how long until it is in force, and until every node heard it. */
-  async confirm(outputTokens: number, patienceMs: number) {
+  async confirm(outputTokens: number, timeoutMs: number) {
     const word = await this.#order(0, { kind: 'confirm', outputTokens });
-    const heardMs = await this.#heard(`setup/${word.counts?.['version'] ?? 0}`, word.atMs ?? 0, patienceMs);
+    const heardMs = await this.#heard(`setup/${word.counts?.['version'] ?? 0}`, word.atMs ?? 0, timeoutMs);
     return { inForceMs: word.counts?.['tookMs'] ?? 0, heardMs };
   }
 
   /** How long after `sinceMs` every node that is here holds exactly those to be here, and (where asked) all boards are equal. */
-  async agree(sinceMs: number, patienceMs: number, equal = true): Promise<number | undefined> {
-    while (monotonicMs() - sinceMs < patienceMs) {
+  async agree(sinceMs: number, timeoutMs: number, equal = true): Promise<number | undefined> {
+    while (monotonicMs() - sinceMs < timeoutMs) {
       const views = await this.views();
       const want = this.places.length - this.#away.size;
       const here = views.filter((view) => !this.#away.has(this.#name(view.name)));
@@ -107,7 +107,7 @@
     return words.flatMap((word) => word.views ?? []);
   }
 
-  meters(): Promise<readonly HollowWord[]> {
+  meters(): Promise<readonly HollowResponse[]> {
     return Promise.all(this.#children.map((_, worker) => this.#order(worker, { kind: 'meter' })));
   }
 
@@ -117,12 +117,12 @@
     return place.name;
   }
 
-  async #heard(key: string, atMs: number, patienceMs: number): Promise<number | undefined> {
+  async #heard(key: string, atMs: number, timeoutMs: number): Promise<number | undefined> {
     for (;;) {
       const words = await Promise.all(this.#children.map((_, worker) => this.#order(worker, { kind: 'arrivals', key })));
       const times = words.flatMap((word) => Object.values(word.arrivals ?? {})).map((one) => one - atMs);
       if (times.length >= this.places.length - this.#away.size) return Math.max(...times);
-      if (monotonicMs() - atMs > patienceMs) return undefined;
+      if (monotonicMs() - atMs > timeoutMs) return undefined;
       await new Promise((resolve) => setTimeout(resolve, lookMs));
     }
   }
@@ -139,10 +139,10 @@
     return child;
   }
 
-  async #order(worker: number, order: HollowOrder): Promise<HollowWord> {
+  async #order(worker: number, order: HollowRequest): Promise<HollowResponse> {
     this.#orders += 1;
     const id = this.#orders;
-    const word = await new Promise<HollowWord>((resolve) => {
+    const word = await new Promise<HollowResponse>((resolve) => {
       this.#waiting.set(id, resolve);
       this.#children[worker]?.send({ id, order });
     });
--- a/testing/simulator/src/hollow/hollowRates.ts
+++ b/testing/simulator/src/hollow/hollowRates.ts
@@ -1,13 +1,13 @@
 import type { HollowPlace } from './hollowPlace.js';
-import type { HollowWord } from './hollowWord.js';
+import type { HollowResponse } from './hollowResponse.js';
 
 const roles = ['agent', 'controller', 'store'] as const;
 
 /** What one node of each role sent, took and worked in a second, and what its process holds. */
 export function hollowRates(
   places: readonly HollowPlace[],
-  before: readonly HollowWord[],
-  after: readonly HollowWord[],
+  before: readonly HollowResponse[],
+  after: readonly HollowResponse[],
   spanMs: number,
 ): readonly string[] {
   const rate = (key: string, nodes: number): number => ((sum(after, key) - sum(before, key)) / nodes / spanMs) * 1000;
@@ -30,6 +30,6 @@
   return [...lines, ...processes];
 }
 
-function sum(words: readonly HollowWord[], key: string): number {
+function sum(words: readonly HollowResponse[], key: string): number {
   return words.reduce((all, word) => all + (word.counts?.[key] ?? 0), 0);
 }
--- a/testing/simulator/src/hollow/hollowOrder.ts
+++ b/testing/simulator/src/hollow/hollowRequest.ts
@@ -5,7 +5,7 @@
 const Names = v.array(NodeName);
 
 /** What the driver has a process of hollow nodes do. */
-export const HollowOrder = v.variant('kind', [
+export const HollowRequest = v.variant('kind', [
   v.strictObject({ kind: v.literal('begin'), worker: v.number(), options: HollowOptions }),
   v.strictObject({ kind: v.literal('start'), names: Names }),
   v.strictObject({ kind: v.literal('kill'), names: Names }),
@@ -17,4 +17,4 @@
   v.strictObject({ kind: v.literal('meter') }),
   v.strictObject({ kind: v.literal('arrivals'), key: v.string() }),
 ]);
-export type HollowOrder = v.InferOutput<typeof HollowOrder>;
+export type HollowRequest = v.InferOutput<typeof HollowRequest>;
--- a/testing/simulator/src/hollow/hollowWord.ts
+++ b/testing/simulator/src/hollow/hollowResponse.ts
@@ -3,7 +3,7 @@
 const Numbers = v.record(v.string(), v.number());
 
 /** What a process of hollow nodes says back. Times are of the machine's one monotonic clock. */
-export const HollowWord = v.strictObject({
+export const HollowResponse = v.strictObject({
   atMs: v.optional(v.number()),
   /** Cards that each node running here holds to be here, and its board's checksum and length. */
   views: v.optional(v.array(v.strictObject({ name: v.string(), live: v.number(), checksum: v.number(), keys: v.number() }))),
@@ -16,4 +16,4 @@
   lagMs: v.optional(v.number()),
   failed: v.optional(v.string()),
 });
-export type HollowWord = v.InferOutput<typeof HollowWord>;
+export type HollowResponse = v.InferOutput<typeof HollowResponse>;
--- a/testing/simulator/src/hollow/hollowWorker.ts
+++ b/testing/simulator/src/hollow/hollowWorker.ts
@@ -6,15 +6,15 @@
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import { HollowNode } from './hollowNode.js';
 import type { HollowOptions } from './hollowOptions.js';
-import { HollowOrder } from './hollowOrder.js';
+import { HollowRequest } from './hollowRequest.js';
 import type { HollowPlace } from './hollowPlace.js';
 import { hollowPlaces } from './hollowPlaces.js';
 import { hollowConfiguration } from './hollowConfiguration.js';
-import type { HollowWord } from './hollowWord.js';
+import type { HollowResponse } from './hollowResponse.js';
 import { monotonicMs } from './monotonicMs.js';
 import { SocketMeter } from './socketMeter.js';
 
-const Envelope = v.strictObject({ id: v.number(), order: HollowOrder });
+const Envelope = v.strictObject({ id: v.number(), order: HollowRequest });
 
 const startGapMs = 40;
 const meter = new SocketMeter();
@@ -59,7 +59,7 @@
   nodes.delete(name);
 }
 
-async function obey(order: HollowOrder): Promise<HollowWord> {
+async function obey(order: HollowRequest): Promise<HollowResponse> {
   switch (order.kind) {
     case 'begin': {
       here = order.options;
@@ -111,7 +111,7 @@
   }
 }
 
-async function confirm(outputTokens: number): Promise<HollowWord> {
+async function confirm(outputTokens: number): Promise<HollowResponse> {
   const operatorApi = [...nodes.values()].find((node) => node.operatorApi !== undefined)?.operatorApi;
   if (operatorApi === undefined) throw new Error('no controller here');
   plans += 1;
@@ -124,7 +124,7 @@
   return { atMs, counts: { version: outcome.version, tookMs: monotonicMs() - atMs } };
 }
 
-function measure(): HollowWord {
+function measure(): HollowResponse {
   const all = new Map(counts);
   const roles = new Map(places.map((one) => [addressParts(one.address).host, one.role]));
   for (const [host, tally] of meter.tally())
@@ -154,7 +154,7 @@
 process.on('message', (message) => {
   const { id, order } = v.parse(Envelope, message);
   obey(order)
-    .catch((error: unknown): HollowWord => ({ failed: errorLine(error) }))
+    .catch((error: unknown): HollowResponse => ({ failed: errorLine(error) }))
     .then((word) => process.send?.({ id, word }))
     .catch(() => process.exit(1));
 });
--- a/testing/simulator/src/main.ts
+++ b/testing/simulator/src/main.ts
@@ -10,7 +10,7 @@
 import { digest } from './digest/index.js';
 import { verdictLine } from './checkers/index.js';
 import { hollow } from './hollow/index.js';
-import { chaos, Fleet, fleetDay, readDeployment } from './fleet/index.js';
+import { fleetFaults, Fleet, fleetDay, readDeployment } from './fleet/index.js';
 import { scale, slopes } from './measurements/index.js';
 import { campaign, simDay, simScenario } from './runs/index.js';
 
@@ -18,8 +18,8 @@
 if (line.notice !== undefined) console.error(`pewtersim: ${line.notice}`);
 const { argument, flags } = line;
 const data = flags.data ?? join(tmpdir(), `simulator-${process.pid}`);
-const say = (text: string): void => console.log(text);
-const trace = flags.trace ? { trace: say } : {};
+const print = (text: string): void => console.log(text);
+const trace = flags.trace ? { trace: print } : {};
 const seeds = Array.from({ length: flags.seeds }, (_, step) => flags.seed + step);
 const namedFaults = listOf(flags.faults);
 
@@ -34,16 +34,16 @@
   await fleet.start();
   await fleet.confirm({ whole: read.configuration }, true);
   await fleet.open();
-  say(`fronts       ${fleet.fronts().join(' ')}\ncontrollers  ${fleet.controllers().join(',')}\nlogs         ${data}\nstop with Ctrl-C`);
+  print(`fronts       ${fleet.fronts().join(' ')}\ncontrollers  ${fleet.controllers().join(',')}\nlogs         ${data}\nstop with Ctrl-C`);
   return stopped;
 }
 
 async function run(place: string): Promise<boolean> {
   // Large and long ones are asked for by name.
-  const drawable = Object.keys(chaos).filter((one) => !['rollFleet', 'largeConfiguration', 'floodBatches', 'powerCut'].includes(one));
+  const drawable = Object.keys(fleetFaults).filter((one) => !['rollFleet', 'largeConfiguration', 'floodBatches', 'powerCut'].includes(one));
   const random = seededRandom(flags.seed ^ 0x5eed);
   const drawn = Array.from({ length: flags.draw }, () => drawable[Math.floor(random() * drawable.length)] ?? 'killFront');
-  return fleetDay({ folder: place, data, seconds: flags.seconds, seed: flags.seed, faults: namedFaults ?? drawn, say });
+  return fleetDay({ folder: place, data, seconds: flags.seconds, seed: flags.seed, faults: namedFaults ?? drawn, print });
 }
 
 async function sim(): Promise<boolean> {
@@ -51,9 +51,9 @@
   for (const seed of seeds) {
     const day = await simDay({ seed, faults: namedFaults, deployment: flags.deployment, ...trace });
     const told = Object.entries(day.told).map(([outcome, count]) => `${outcome} ${count}`);
-    say(`seed ${seed}: ${day.faults.join(',')}; ${told.join(', ')}; ${day.events} events; ${day.violations.length} violations`);
-    if (day.unfinished > 0) say(`  ${day.unfinished} lots did not come to an end`);
-    for (const violation of day.violations.slice(0, 20)) say(`  ${Math.round(violation.atMs)} ${violation.rule}: ${violation.what}`);
+    print(`seed ${seed}: ${day.faults.join(',')}; ${told.join(', ')}; ${day.events} events; ${day.violations.length} violations`);
+    if (day.unfinished > 0) print(`  ${day.unfinished} lots did not come to an end`);
+    for (const violation of day.violations.slice(0, 20)) print(`  ${Math.round(violation.atMs)} ${violation.rule}: ${violation.what}`);
     kept &&= day.violations.length === 0 && day.unfinished === 0;
   }
   return kept;
@@ -63,12 +63,12 @@
   let kept = true;
   const all: { readonly seed: number; readonly rule: string; readonly judged: number; readonly broken: number }[] = [];
   for (const seed of seeds) {
-    const { verdicts } = await simScenario(which, seed, flags.trace ? say : undefined);
+    const { verdicts } = await simScenario(which, seed, flags.trace ? print : undefined);
     all.push(...verdicts.map(({ rule, judged, violations }) => ({ seed, rule, judged, broken: violations.length })));
-    if (!flags.json) for (const verdict of verdicts) say(`seed ${seed}: ${verdictLine(verdict)}`);
+    if (!flags.json) for (const verdict of verdicts) print(`seed ${seed}: ${verdictLine(verdict)}`);
     kept &&= verdicts.every(({ violations }) => violations.length === 0);
   }
-  if (flags.json) say(JSON.stringify(all));
+  if (flags.json) print(JSON.stringify(all));
   return kept;
 }
 
@@ -78,18 +78,18 @@
     (mutation) => (named === undefined || named.includes(mutation.name)) && (!flags.ci || mutation.ci === true),
   );
   const root = join(dirname(fileURLToPath(import.meta.url)), '../../../..');
-  const outcomes = await runMutations(root, chosen, say);
-  say(`${outcomes.filter((one) => one.held).length} of ${outcomes.length} mutations were detected`);
-  return outcomes.every((one) => one.held);
+  const outcomes = await runMutations(root, chosen, print);
+  print(`${outcomes.filter((one) => one.detected).length} of ${outcomes.length} mutations were detected`);
+  return outcomes.every((one) => one.detected);
 }
 
 const commands: Readonly<Record<CommandName, () => Promise<boolean>>> = {
   up: () => up(argument ?? ''),
   run: () => run(argument ?? ''),
   sim,
-  campaign: () => campaign({ days: flags.days, seed: flags.seed, say }),
+  campaign: () => campaign({ days: flags.days, seed: flags.seed, print }),
   scenario: () => scenario(argument ?? ''),
-  digest: () => digest({ compare: flags.compare, say }),
+  digest: () => digest({ compare: flags.compare, print }),
   mutations: runMutationCommand,
   hollow: () =>
     hollow({
@@ -102,10 +102,10 @@
       replicas: flags.replicas,
       announceMs: flags.announce,
       running: flags.running,
-      say,
+      print,
     }),
-  slopes: () => slopes(say).then(() => true),
-  scale: () => scale(flags.seed, say).then(() => true),
+  slopes: () => slopes(print).then(() => true),
+  scale: () => scale(flags.seed, print).then(() => true),
 };
 
 try {
--- a/testing/simulator/src/measurements/scale.ts
+++ b/testing/simulator/src/measurements/scale.ts
@@ -7,20 +7,20 @@
 const spanMs = 10_000;
 
 /** Counts, in virtual time, of what the control plane sends as the fleet and its waiting work grow. */
-export async function scale(seed: number, say: (line: string) => void): Promise<void> {
-  say('at rest, by fronts: messages, bytes, beats, news and comparisons a second, each for one node');
+export async function scale(seed: number, print: (line: string) => void): Promise<void> {
+  print('at rest, by fronts: messages, bytes, beats, news and comparisons a second, each for one node');
   for (const fronts of [4, 8, 16, 32, 100]) {
     const run = new SimRun({ seed, fronts });
     await run.begin(false);
     const before = counts(run);
-    await run.pass(spanMs);
+    await run.advance(spanMs);
     const after = counts(run);
     const nodes = fronts + 6;
     const keys = ['messages', 'bytes', 'heartbeats', 'update', 'compared'] as const;
     const each = (key: keyof typeof after): string => ((((after[key] - before[key]) / spanMs) * 1000) / nodes).toFixed(1);
-    say(`${fronts} fronts: ${keys.map((key) => `${each(key)} ${key}`).join(', ')}`);
+    print(`${fronts} fronts: ${keys.map((key) => `${each(key)} ${key}`).join(', ')}`);
   }
-  say('by branches and waiting items: accounts that one tick looks at');
+  print('by branches and waiting items: accounts that one tick looks at');
   for (const [quotas, items] of [
     [10, 200],
     [100, 200],
@@ -29,20 +29,20 @@
     [1000, 2000],
   ] as const) {
     const { looks, chosen } = tickLooks(quotas, items);
-    say(`${quotas} branches, ${items} items: ${looks} looks, ${chosen} items claimed`);
+    print(`${quotas} branches, ${items} items: ${looks} looks, ${chosen} items claimed`);
   }
-  say('by waiting items, budget-limited: bytes a second in all');
+  print('by waiting items, budget-limited: bytes a second in all');
   for (const itemsPerBatch of [10, 100, 500]) {
     const run = new SimRun({ seed, tasks: 1, batches: 1, itemsPerBatch, requestsPerMinute: 600 });
     await run.begin();
     // Let it lie: no more lots, no readers, only what waits.
     run.traffic.stop();
-    await run.pass(2000);
+    await run.advance(2000);
     const before = counts(run);
-    await run.pass(spanMs);
+    await run.advance(spanMs);
     const after = counts(run);
     const rate = (key: 'bytes' | 'messages'): number => Math.round(((after[key] - before[key]) / spanMs) * 1000);
-    say(`${itemsPerBatch * 10} items: ${rate('bytes')} bytes, ${rate('messages')} messages`);
+    print(`${itemsPerBatch * 10} items: ${rate('bytes')} bytes, ${rate('messages')} messages`);
   }
 }
 
--- a/testing/simulator/src/measurements/slopes.ts
+++ b/testing/simulator/src/measurements/slopes.ts
@@ -14,13 +14,13 @@
 const resultBytes = 200;
 
 /** What one process of each role holds and works, at five sizes each: the slopes that docs/CAPACITY.md adds up. */
-export async function slopes(say: (line: string) => void): Promise<void> {
-  for (const items of [1000, 3000, 10_000, 30_000, 100_000]) batchItems(items, say);
-  for (const items of [100, 1000, 3000, 10_000, 30_000]) batchOfOne(items, say);
-  for (const tenants of [62, 155, 310, 620, 1240]) configurationOf(tenants, say);
-  for (const tenants of [62, 155, 310, 620, 1240]) lenders(tenants, say);
-  for (const fronts of [7, 20, 61, 120, 350]) draws(fronts, say);
-  for (const fronts of [7, 20, 61, 120, 350]) tables(fronts, say);
+export async function slopes(print: (line: string) => void): Promise<void> {
+  for (const items of [1000, 3000, 10_000, 30_000, 100_000]) batchItems(items, print);
+  for (const items of [100, 1000, 3000, 10_000, 30_000]) batchOfOne(items, print);
+  for (const tenants of [62, 155, 310, 620, 1240]) configurationOf(tenants, print);
+  for (const tenants of [62, 155, 310, 620, 1240]) lenders(tenants, print);
+  for (const fronts of [7, 20, 61, 120, 350]) draws(fronts, print);
+  for (const fronts of [7, 20, 61, 120, 350]) tables(fronts, print);
 }
 
 function heapBytes(): number {
@@ -63,7 +63,7 @@
 }
 
 /** A shard of lots with so many items, taken from hand-in to their results. */
-function batchItems(items: number, say: (line: string) => void): void {
+function batchItems(items: number, print: (line: string) => void): void {
   const before = heapBytes();
   const shard = new BatchShard();
   const perBatch = 200;
@@ -89,21 +89,21 @@
   });
   const lookMs = several(() => void shard.queued(100, 2000));
   const each = (total: number): string => (total / items).toFixed(1);
-  say(
+  print(
     `lot part, ${items} items of ${inputBytes} bytes: ${each(held)} bytes held each, ${each(written)} written each, ` +
       `${each(handMs * 1000)} us to take in, ${each(runMs * 1000)} us to claim, start and close; a look ${spanOf(lookMs)}`,
   );
 }
 
 /** One lot of so many items: its hand-in is one command, one record and one message to each copy. */
-function batchOfOne(items: number, say: (line: string) => void): void {
+function batchOfOne(items: number, print: (line: string) => void): void {
   const raw = batchOf('l', items);
   const bytes = encoder.encode(raw).length;
   const shard = new BatchShard();
   const takeMs = timed(() => void shard.apply(v.parse(BatchCommand, raw)));
   const batch = [...shard.batches.values()][0];
   const viewMs = several(() => void batch?.view());
-  say(`one lot of ${items} items: ${bytes} bytes in one command, ${takeMs.toFixed(0)} ms on the loop, a view ${perSpan(viewMs, 1)}`);
+  print(`one lot of ${items} items: ${bytes} bytes in one command, ${takeMs.toFixed(0)} ms on the loop, a view ${perSpan(viewMs, 1)}`);
 }
 
 function configurationText(tenants: number): Record<string, unknown> {
@@ -119,7 +119,7 @@
   };
 }
 
-function configurationOf(tenants: number, say: (line: string) => void): void {
+function configurationOf(tenants: number, print: (line: string) => void): void {
   const raw = configurationText(tenants);
   const configuration = v.parse(Configuration, raw);
   const bytes = encoder.encode(configuration).length;
@@ -127,21 +127,21 @@
   const kept = Array.from({ length: 20 }, () => v.parse(Configuration, raw));
   const held = (heapBytes() - before) / kept.length;
   const readMs = several(() => void v.parse(Configuration, raw));
-  say(`setup, ${tenants} tenants and 12 models: ${bytes} bytes, ${held.toFixed(0)} held, read in ${perSpan(readMs, 1)}`);
+  print(`setup, ${tenants} tenants and 12 models: ${bytes} bytes, ${held.toFixed(0)} held, read in ${perSpan(readMs, 1)}`);
 }
 
-function lenders(tenants: number, say: (line: string) => void): void {
+function lenders(tenants: number, print: (line: string) => void): void {
   const names = Array.from({ length: tenants }, (_, at) => v.parse(QuotaName, `t${at}`));
   const rules = new Map(names.map((name) => [name, { share: 1 / tenants, lends: true }]));
   const times = several(() => {
     const tree = new QuotaTree(rules);
     for (const name of names) tree.lenders(name);
   });
-  say(`branches, ${tenants}: everybody's lenders in ${perSpan(times, 1)}`);
+  print(`branches, ${tenants}: everybody's lenders in ${perSpan(times, 1)}`);
 }
 
 /** The counter as 620 tenants' fronts draw from it, each front of ten of them. */
-function draws(fronts: number, say: (line: string) => void): void {
+function draws(fronts: number, print: (line: string) => void): void {
   const names = Array.from({ length: 620 }, (_, at) => v.parse(QuotaName, `t${at}`));
   const tree = new QuotaTree(new Map(names.map((name) => [name, { share: 1 / names.length, lends: true }])));
   const ceiling = { requests: 60_000, tokens: 60_000_000 };
@@ -161,11 +161,11 @@
         }
       }
   });
-  say(`counter, ${fronts} fronts: a draw of ten branches in ${perSpan(times, turns * fronts)}`);
+  print(`counter, ${fronts} fronts: a draw of ten branches in ${perSpan(times, turns * fronts)}`);
 }
 
 /** What a proxy makes of the news: tables of six replicas a front, and every front's use. */
-function tables(fronts: number, say: (line: string) => void): void {
+function tables(fronts: number, print: (line: string) => void): void {
   const before = heapBytes();
   const clock = new SystemClock();
   const routingState = new RoutingState({ front: v.parse(NodeName, 'f0'), instance: 'l', clock });
@@ -194,7 +194,7 @@
     value: rows[1],
   }).length;
   const times = several(() => routingState.rebuild());
-  say(
+  print(
     `proxy's tables, ${rows.length} replicas and ${fronts} fronts: ${(held / 2 ** 20).toFixed(2)} MB held, derived in ` +
       `${perSpan(times, 1)}; one front's use ${one} bytes, one announcement ${other}`,
   );
--- a/testing/simulator/src/model/exploredGroup.ts
+++ b/testing/simulator/src/model/exploredGroup.ts
@@ -9,15 +9,15 @@
 import type { ExplorationScope } from './explorationScope.js';
 import type { ExploredAction } from './exploredAction.js';
 import { ExploredProcess } from './exploredProcess.js';
-import { HeldNet } from './heldNet.js';
-import { HeldTime } from './heldTime.js';
+import { ManualNet } from './manualNet.js';
+import { ManualTime } from './manualTime.js';
 import { Invariants } from './invariants.js';
 import { modelBounds } from './modelBounds.js';
 
 interface Machine {
   readonly name: NodeName;
   readonly address: Address;
-  readonly syncs: HeldTime;
+  readonly syncs: ManualTime;
   readonly disk: SimDisk;
   process: ExploredProcess;
   /** All that happened here, in its order: what the machine holds and has sent follows from it alone. */
@@ -34,7 +34,7 @@
   readonly invariants = new Invariants();
   readonly #scope: ExplorationScope;
   readonly #time = new SimTime();
-  readonly #net = new HeldNet();
+  readonly #net = new ManualNet();
   readonly #machines: readonly Machine[];
   /** Changes whose operator was told that they were taken. */
   readonly #confirmed: ConfigurationChange[] = [];
@@ -50,7 +50,7 @@
     this.#machines = numbers.map((number) => {
       const name = v.parse(NodeName, `core-${number}`);
       const address = v.parse(Address, `127.0.20.${number}:7000`);
-      const syncs = new HeldTime();
+      const syncs = new ManualTime();
       // What was not synced is lost whole.
       const disk = new SimDisk(syncs, () => 0);
       return { name, address, syncs, disk, process: this.#begin(name, address, disk), past: '' };
--- a/testing/simulator/src/model/exploredProcess.ts
+++ b/testing/simulator/src/model/exploredProcess.ts
@@ -44,12 +44,12 @@
     const { name, address, time, net, mintMemberId } = options;
     const machine = new SimMachine(name, 'a', 0, time);
     this.#clock = new SimClock(time, machine, this.instance);
-    const ground = { clock: this.#clock, counters: new Counters() };
-    this.#transport = tapTransport(new SimTransport({ ...ground, here: address, machine, instance: this.instance, net }), options.led);
+    const context = { clock: this.#clock, counters: new Counters() };
+    this.#transport = tapTransport(new SimTransport({ ...context, here: address, machine, instance: this.instance, net }), options.led);
     const bounds = { failureTimeoutMs, compactBytes };
     const disk = options.openDisk(this.instance);
     const fatal = (): void => this.end();
-    this.host = new ShardHost({ ...ground, transport: this.#transport, disk, bounds, log: quietLog, fatal, name, address, mintMemberId });
+    this.host = new ShardHost({ ...context, transport: this.#transport, disk, bounds, log: quietLog, fatal, name, address, mintMemberId });
   }
 
   get member(): Member<ConfigurationCommand, ConfigurationReturn> | undefined {
@@ -62,8 +62,8 @@
     const hooks = { leadershipChanged: soon, applied: soon, noticed: soon };
     const member = await this.host.host<ConfigurationCommand, ConfigurationReturn>(shard, group, new PackedShard(this.machine), hooks);
     this.#member = member;
-    const ground = { clock: this.#clock, transport: this.#transport, counters: new Counters(), log: quietLog };
-    this.#reconciler = new GroupReconciler({ ...ground, member, failureTimeoutMs, wanted: this.#options.wanted });
+    const context = { clock: this.#clock, transport: this.#transport, counters: new Counters(), log: quietLog };
+    this.#reconciler = new GroupReconciler({ ...context, member, failureTimeoutMs, wanted: this.#options.wanted });
   }
 
   end(): void {
--- a/testing/simulator/src/model/heldNet.ts
+++ b/testing/simulator/src/model/manualNet.ts
@@ -20,7 +20,7 @@
 }
 
 /** A network that delivers nothing by itself: each message waits, in its order between two ends, until it is chosen. */
-export class HeldNet extends SimNet {
+export class ManualNet extends SimNet {
   readonly #listeners = new Map<Address, Listener>();
   readonly #channels = new Map<string, Held[]>();
   readonly #replies = new ReplyAddresses();
--- a/testing/simulator/src/model/heldTime.ts
+++ b/testing/simulator/src/model/manualTime.ts
@@ -1,7 +1,7 @@
 import { SimTime } from '../engine/index.js';
 
 /** Time for a disk whose writes end only when they are chosen to, one after the other. */
-export class HeldTime extends SimTime {
+export class ManualTime extends SimTime {
   readonly #jobs: (() => void)[] = [];
 
   get waiting(): number {
--- a/testing/simulator/src/model/modelCluster.ts
+++ b/testing/simulator/src/model/modelCluster.ts
@@ -311,7 +311,7 @@
 
   #log(name: string): Log {
     if (this.#trace === undefined) return quietLog;
-    const say = (line: string): void => this.note(`${name} ${line}`);
-    return { info: say, warn: say, error: say };
+    const print = (line: string): void => this.note(`${name} ${line}`);
+    return { info: print, warn: print, error: print };
   }
 }
--- a/testing/simulator/src/model/modelNode.ts
+++ b/testing/simulator/src/model/modelNode.ts
@@ -59,11 +59,11 @@
     this.#options = options;
     const { address, machine, time, net, log, fatal, name, mintMemberId } = options;
     this.#clock = new SimClock(time, machine, this.instance);
-    const ground = { clock: this.#clock, counters: this.#counters };
-    this.#transport = tapTransport(new SimTransport({ ...ground, here: address, machine, instance: this.instance, net }), options.led);
+    const context = { clock: this.#clock, counters: this.#counters };
+    this.#transport = tapTransport(new SimTransport({ ...context, here: address, machine, instance: this.instance, net }), options.led);
     const disk = options.trap.wrap(options.disk.open(this.instance));
     const bounds = { failureTimeoutMs, compactBytes };
-    this.#host = new ShardHost({ ...ground, transport: this.#transport, disk, bounds, log, fatal, name, address, mintMemberId });
+    this.#host = new ShardHost({ ...context, transport: this.#transport, disk, bounds, log, fatal, name, address, mintMemberId });
     const finder = new LeaderFinder({
       transport: this.#transport,
       clock: this.#clock,
@@ -106,11 +106,11 @@
   async #open(disk: Parameters<typeof firstStart>[0]): Promise<void> {
     const { seeds, log } = this.#options;
     const transport = this.#transport;
-    const ground = { clock: this.#clock, counters: this.#counters };
+    const context = { clock: this.#clock, counters: this.#counters };
     const known = await this.#host.known(shard);
     const { bootstrap, over } = await firstStart(disk, this.#options.bootstrap);
     const group = await bootstrapGroup({
-      ...ground,
+      ...context,
       transport,
       shard,
       host: this.#host,
@@ -125,7 +125,7 @@
     this.#member = member;
     await over();
     const wanted = (): ReturnType<ReturnType<ConfigurationShard['wanted']>['get']> => this.machine.wanted().get(shard);
-    this.#reconciler = new GroupReconciler({ ...ground, member, transport, log, failureTimeoutMs, wanted });
+    this.#reconciler = new GroupReconciler({ ...context, member, transport, log, failureTimeoutMs, wanted });
     this.#stop = every(this.#clock, failureTimeoutMs / 4, () => this.#seat(member));
   }
 
--- a/testing/simulator/src/mutation/runMutations.ts
+++ b/testing/simulator/src/mutation/runMutations.ts
@@ -14,7 +14,7 @@
   /** Seeds under which the rule was broken with the guard out, and those of them that the untouched tree kept, having judged it. */
   readonly red: readonly number[];
   readonly green: readonly number[];
-  readonly held: boolean;
+  readonly detected: boolean;
 }
 
 /** Runs a scenario as a process of its own, in a tree. */
@@ -60,19 +60,23 @@
 }
 
 /** Takes each guard out in a copy of the built tree and runs its scenario: red without it, green with it, under the same seeds. */
-export async function runMutations(root: string, mutations: readonly Mutation[], say: (line: string) => void): Promise<readonly Outcome[]> {
+export async function runMutations(
+  root: string,
+  mutations: readonly Mutation[],
+  print: (line: string) => void,
+): Promise<readonly Outcome[]> {
   const outcomes: Outcome[] = [];
   const queue = [...mutations];
   const work = async (): Promise<void> => {
     for (let mutation = queue.shift(); mutation !== undefined; mutation = queue.shift()) {
       const outcome = await runOne(root, mutation).catch((error: unknown) => {
         // A run that comes to no verdicts shows nothing.
-        say(`${mutation.name}: ${errorLine(error)}`);
-        return { mutation, red: [], green: [], held: false };
+        print(`${mutation.name}: ${errorLine(error)}`);
+        return { mutation, red: [], green: [], detected: false };
       });
       outcomes.push(outcome);
-      const { red, green, held } = outcome;
-      say(`${held ? 'holds    ' : 'NOT SHOWN'} ${mutation.name}: red ${named(red)}, green ${named(green)} (${mutation.scenario})`);
+      const { red, green, detected } = outcome;
+      print(`${detected ? 'holds    ' : 'NOT SHOWN'} ${mutation.name}: red ${named(red)}, green ${named(green)} (${mutation.scenario})`);
     }
   };
   await Promise.all(Array.from({ length: Math.max(1, Math.min(6, availableParallelism() - 1)) }, work));
@@ -84,13 +88,13 @@
 async function runOne(root: string, mutation: Mutation): Promise<Outcome> {
   const tree = await ScratchTree.copy(root);
   try {
-    await tree.takeOut(mutation);
+    await tree.apply(mutation);
     const without = await verdictsIn(tree.folder, mutation);
     const within = await verdictsIn(root, mutation);
     const red = without.filter((one) => one.rule === mutation.rule && one.broken > 0).map((one) => one.seed);
     const green = within.filter((one) => one.rule === mutation.rule && one.broken === 0 && one.judged > 0).map((one) => one.seed);
     // Every named seed is green with the guard in; every one is red without it.
-    return { mutation, red, green, held: red.length === mutation.seeds.length && green.length === mutation.seeds.length };
+    return { mutation, red, green, detected: red.length === mutation.seeds.length && green.length === mutation.seeds.length };
   } finally {
     await tree.remove();
   }
--- a/testing/simulator/src/mutation/scratchTree.ts
+++ b/testing/simulator/src/mutation/scratchTree.ts
@@ -36,7 +36,7 @@
   }
 
   /** Takes a guard out. A text that is not there exactly once is an error: the list is out of date. */
-  async takeOut(mutation: Mutation): Promise<void> {
+  async apply(mutation: Mutation): Promise<void> {
     const findings: Finding[] = [];
     for (const { file, text, instead } of mutation.edits) {
       const path = join(this.folder, file);
--- a/testing/simulator/src/runs/campaign.ts
+++ b/testing/simulator/src/runs/campaign.ts
@@ -6,7 +6,7 @@
   readonly days: number;
   /** The seed of the first day; each day has its own. */
   readonly seed: number;
-  readonly say: (line: string) => void;
+  readonly print: (line: string) => void;
 }
 
 /** How often something was seen, and in how many of these cases it went wrong. */
@@ -18,14 +18,14 @@
     this.#counts.set(name, { seen: count.seen + seen, wrong: count.wrong + wrong });
   }
 
-  lines(seenWord: string, wrongWord: string): readonly string[] {
+  lines(seenLabel: string, wrongLabel: string): readonly string[] {
     const ordered = [...this.#counts].sort(([a], [b]) => (a < b ? -1 : 1));
-    return ordered.map(([name, { seen, wrong }]) => `  ${name}: ${seenWord} ${seen}${wrong > 0 ? `, ${wrongWord} ${wrong}` : ''}`);
+    return ordered.map(([name, { seen, wrong }]) => `  ${name}: ${seenLabel} ${seen}${wrong > 0 ? `, ${wrongLabel} ${wrong}` : ''}`);
   }
 }
 
 /** Plays many days, each on the next of the deployments, and says what was judged by rule and by kind. True when no day broke a rule. */
-export async function campaign({ days, seed: first, say }: CampaignOptions): Promise<boolean> {
+export async function campaign({ days, seed: first, print }: CampaignOptions): Promise<boolean> {
   const names = Object.keys(simDeployments);
   const rules = new Tally();
   const kinds = new Tally();
@@ -49,15 +49,15 @@
     deployments.add(deployment, 1, wrong);
     for (const kind of played) kinds.add(kind, 1, wrong);
     if (wrong === 0) continue;
-    say(`seed ${seed} on ${deployment}: ${played.join(', ')}`);
-    for (const line of wrongs) say(`  ${line}`);
-    say(`  replay: pewtersim sim --seed ${seed} --deployment ${deployment} --trace`);
+    print(`seed ${seed} on ${deployment}: ${played.join(', ')}`);
+    for (const line of wrongs) print(`  ${line}`);
+    print(`  replay: pewtersim sim --seed ${seed} --deployment ${deployment} --trace`);
   }
-  say(`${days} days, ${broken} with a rule broken`);
-  for (const line of deployments.lines('days', 'broken')) say(line);
-  say('by rule');
-  for (const line of rules.lines('judged', 'broken')) say(line);
-  say('by kind of trouble');
-  for (const line of kinds.lines('played', 'on a broken day')) say(line);
+  print(`${days} days, ${broken} with a rule broken`);
+  for (const line of deployments.lines('days', 'broken')) print(line);
+  print('by rule');
+  for (const line of rules.lines('judged', 'broken')) print(line);
+  print('by kind of trouble');
+  for (const line of kinds.lines('played', 'on a broken day')) print(line);
   return broken === 0;
 }
--- a/testing/simulator/src/runs/simDay.ts
+++ b/testing/simulator/src/runs/simDay.ts
@@ -38,20 +38,20 @@
   const drawn = options.faults ?? draw(random, size.joining !== undefined);
   const run = new SimRun({ ...size, seed: options.seed, ...(trace === undefined ? {} : { trace }) });
   await run.begin();
-  run.operators.keepOn(orderMs, lostAckRatio);
+  run.operators.sendPeriodically(orderMs, lostAckRatio);
   for (const name of drawn) {
     const fault = faults[name];
     if (fault === undefined) throw new Error(`no fault ${name}`);
     let turns = 0;
-    while (!fault.act(run.disruption)) {
-      await run.pass(turnMs);
+    while (!fault.inject(run.disruption)) {
+      await run.advance(turnMs);
       turns += 1;
       if (turns > maxTurns) throw new Error(`${name} never had its turn`);
     }
-    run.fault(name);
+    run.noteFault(name);
     trace?.(`${(run.fleet.time.nowMs / 1000).toFixed(3)} FAULT ${name}`);
     // Now and then the next one comes at once.
-    await run.pass(random() < 0.25 ? random() * 500 : 1000 + random() * 5000);
+    await run.advance(random() < 0.25 ? random() * 500 : 1000 + random() * 5000);
   }
   return { seed: options.seed, deployment, faults: drawn, history: run.fleet.history, ...(await run.finish()) };
 }
--- a/testing/simulator/src/runs/simScenario.ts
+++ b/testing/simulator/src/runs/simScenario.ts
@@ -8,6 +8,6 @@
   if (scenario === undefined) throw new Error(`no scenario ${name}`);
   const run = new SimRun({ seed, ...scenario.options, ...(trace === undefined ? {} : { trace }) });
   await run.begin();
-  await scenario.act(run);
+  await scenario.run(run);
   return { history: run.fleet.history, ...(await run.finish(scenario.takeoverMs ?? briefBounds.recoveryMs, scenario.itemStartMs)) };
 }
--- a/testing/simulator/src/scenarios/itemScenarios.ts
+++ b/testing/simulator/src/scenarios/itemScenarios.ts
@@ -7,48 +7,48 @@
   /** Lots are ended while fronts stand still that have leases of theirs before them, and that are still fresh when they wake. */
   endedWhileFrozen: {
     options: { batches: 3, itemsPerBatch: 10, freshnessMs: 8000 },
-    act: async (run) => {
+    run: async (run) => {
       for (let round = 0; round < 5; round += 1) {
         // The lot is leased in the next tick, and ended a moment later.
         await nextAccepted(run, 60);
-        const { machine } = run.fleet.host(run.pick(run.machines('front')));
-        run.fault(`${machine.name} stands still`);
+        const { machine } = run.fleet.host(run.pickRandom(run.machines('front')));
+        run.noteFault(`${machine.name} stands still`);
         machine.freeze();
-        await run.pass(5000);
+        await run.advance(5000);
         machine.wake();
-        await run.pass(1500);
+        await run.advance(1500);
       }
     },
   },
   /** Fronts die and stand still while items that may not be repeated are with them. */
   itemsLost: {
     options: { batches: 5, itemsPerBatch: 20 },
-    act: async (run) => {
+    run: async (run) => {
       for (let round = 0; round < 4; round += 1) {
-        run.fault('a front dies, another stands still');
-        processFaults['killFront']?.act(run.disruption);
-        processFaults['freezeFront']?.act(run.disruption);
-        await run.pass(6000);
+        run.noteFault('a front dies, another stands still');
+        processFaults['killFront']?.inject(run.disruption);
+        processFaults['freezeFront']?.inject(run.disruption);
+        await run.advance(6000);
       }
     },
   },
   /** The dispatcher dies while a front that holds its leases stands still; the front wakes when the next one has leased them anew. */
   staleLeases: {
     options: { batches: 3, itemsPerBatch: 60, freshnessMs: 8000 },
-    act: async (run) => {
+    run: async (run) => {
       for (let round = 0; round < 8; round += 1) {
         await nextAccepted(run);
-        const { machine } = run.fleet.host(run.pick(run.machines('front')));
+        const { machine } = run.fleet.host(run.pickRandom(run.machines('front')));
         const holder = run.dispatcher();
-        run.fault(`${holder} dies, ${machine.name} stands still`);
+        run.noteFault(`${holder} dies, ${machine.name} stands still`);
         machine.freeze();
         // By then a tick has leased items to the front that does not move.
-        await run.pass(350);
+        await run.advance(350);
         run.fleet.kill(holder);
-        run.restart(holder, 1000);
-        await run.pass(2400 + round * 100);
+        run.scheduleRestart(holder, 1000);
+        await run.advance(2400 + round * 100);
         machine.wake();
-        await run.pass(2500);
+        await run.advance(2500);
       }
     },
   },
--- a/testing/simulator/src/scenarios/limitScenarios.ts
+++ b/testing/simulator/src/scenarios/limitScenarios.ts
@@ -5,26 +5,26 @@
   /** Nobody hands in a lot for a minute; then both branches have more waiting than their share. */
   floodAfterIdle: {
     options: { tasks: 2, batches: 0.8, itemsPerBatch: 40, requestsPerMinute: 1200 },
-    act: async (run) => {
+    run: async (run) => {
       run.traffic.batchQuotas = [];
-      await run.pass(60_000);
-      run.fault('a flood of lots');
+      await run.advance(60_000);
+      run.noteFault('a flood of lots');
       run.traffic.batchQuotas = ['north', 'south'];
       for (const quota of run.traffic.batchQuotas) for (let batch = 0; batch < 8; batch += 1) run.traffic.flood(quota, 100);
-      await run.pass(80_000);
+      await run.advance(80_000);
     },
   },
   /** The dispatcher dies again and again while both branches have more waiting than their share. */
   floodAndMoves: {
     options: { tasks: 2, batches: 0.8, itemsPerBatch: 40, requestsPerMinute: 1200 },
-    act: async (run) => {
-      run.fault('the dispatcher moves, again and again');
+    run: async (run) => {
+      run.noteFault('the dispatcher moves, again and again');
       for (let round = 0; round < 9; round += 1) {
         const holder = run.dispatcher();
         if (round % 3 === 2) run.fleet.kill(holder);
-        else run.leave(holder);
-        run.restart(holder, 3000);
-        await run.pass(9000);
+        else run.shutDown(holder);
+        run.scheduleRestart(holder, 3000);
+        await run.advance(9000);
       }
     },
   },
--- a/testing/simulator/src/scenarios/partialPartitionScenarios.ts
+++ b/testing/simulator/src/scenarios/partialPartitionScenarios.ts
@@ -24,23 +24,23 @@
   const [other = cutOff] = run.machines('controller').filter((name) => name !== cutOff);
   for (let round = 0; round < cutMs / roundMs; round += 1) {
     for (const [position, at] of [cutOff, other].entries())
-      void run.operate(
+      void run.changeConfiguration(
         { part: { bounds: { batchConcurrencyLimit: 100 + round * 2 + position } } },
         run.machines('controller').includes(at) ? at : undefined,
       );
     for (const at of run.machines('controller')) void run.readConfiguration(at);
-    await run.pass(roundMs);
+    await run.advance(roundMs);
   }
 }
 
 type Cut = Omit<Parameters<typeof partialPartition>[1], 'machine'>;
 
 async function cutOff(run: SimRun, machine: string, cut: Cut): Promise<void> {
-  run.fault(`${machine} is cut off from its peers: ${cut.lost}, ${cut.how ?? 'silent'}`);
+  run.noteFault(`${machine} is cut off from its peers: ${cut.lost}, ${cut.how ?? 'silent'}`);
   partialPartition(run, { machine, ...cut });
   await raceOperators(run, machine);
   run.fleet.net.heal();
-  await run.pass(roundMs * 2);
+  await run.advance(roundMs * 2);
 }
 
 /** Has the dispatcher's role held on the configuration leader's machine, or on another: it moves when its holder dies. */
@@ -49,8 +49,8 @@
   for (let moves = 0; moves < maxMoves && !arranged(); moves += 1) {
     const holder = run.dispatcher();
     run.fleet.kill(holder);
-    run.restart(holder, failureTimeoutMs * 5);
-    await run.pass(failureTimeoutMs * 10);
+    run.scheduleRestart(holder, failureTimeoutMs * 5);
+    await run.advance(failureTimeoutMs * 10);
   }
   if (!arranged()) throw new Error(`the dispatcher stayed on ${run.dispatcher()}`);
 }
@@ -72,18 +72,18 @@
 
 /** One machine is cut off from its peers for a long while, and fronts still reach it. */
 export const partialPartitionScenarios: Readonly<Record<string, Scenario>> = {
-  dispatcherCutOff: { ...leaseOnly, act: (run) => cutDispatcherOff(run, { lost: 'both' }) },
-  dispatcherHearsNoPeer: { ...leaseOnly, act: (run) => cutDispatcherOff(run, { lost: 'in' }) },
-  dispatcherReachesNoPeer: { ...leaseOnly, act: (run) => cutDispatcherOff(run, { lost: 'out' }) },
-  dispatcherRefused: { ...leaseOnly, act: (run) => cutDispatcherOff(run, { lost: 'both', how: 'refused' }) },
-  configurationLeaderCutOff: { ...leaseOnly, act: (run) => cutConfigurationLeaderOff(run, { lost: 'both' }) },
-  configurationLeaderHearsNoPeer: { ...leaseOnly, act: (run) => cutConfigurationLeaderOff(run, { lost: 'in' }) },
-  configurationLeaderReachesNoPeer: { ...leaseOnly, act: (run) => cutConfigurationLeaderOff(run, { lost: 'out' }) },
-  bothRolesCutOff: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'both' }) },
-  bothRolesHearNoPeer: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'in' }) },
-  bothRolesReachNoPeer: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'out' }) },
-  bothRolesRefused: { ...leaseAfterElection, act: (run) => cutBothRolesOff(run, { lost: 'both', how: 'refused' }) },
-  batchLeaderCutOff: { ...leaseOnly, act: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'both' }) },
-  batchLeaderHearsNoPeer: { ...leaseOnly, act: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'in' }) },
-  batchLeaderReachesNoPeer: { ...leaseOnly, act: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'out' }) },
+  dispatcherCutOff: { ...leaseOnly, run: (run) => cutDispatcherOff(run, { lost: 'both' }) },
+  dispatcherHearsNoPeer: { ...leaseOnly, run: (run) => cutDispatcherOff(run, { lost: 'in' }) },
+  dispatcherReachesNoPeer: { ...leaseOnly, run: (run) => cutDispatcherOff(run, { lost: 'out' }) },
+  dispatcherRefused: { ...leaseOnly, run: (run) => cutDispatcherOff(run, { lost: 'both', how: 'refused' }) },
+  configurationLeaderCutOff: { ...leaseOnly, run: (run) => cutConfigurationLeaderOff(run, { lost: 'both' }) },
+  configurationLeaderHearsNoPeer: { ...leaseOnly, run: (run) => cutConfigurationLeaderOff(run, { lost: 'in' }) },
+  configurationLeaderReachesNoPeer: { ...leaseOnly, run: (run) => cutConfigurationLeaderOff(run, { lost: 'out' }) },
+  bothRolesCutOff: { ...leaseAfterElection, run: (run) => cutBothRolesOff(run, { lost: 'both' }) },
+  bothRolesHearNoPeer: { ...leaseAfterElection, run: (run) => cutBothRolesOff(run, { lost: 'in' }) },
+  bothRolesReachNoPeer: { ...leaseAfterElection, run: (run) => cutBothRolesOff(run, { lost: 'out' }) },
+  bothRolesRefused: { ...leaseAfterElection, run: (run) => cutBothRolesOff(run, { lost: 'both', how: 'refused' }) },
+  batchLeaderCutOff: { ...leaseOnly, run: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'both' }) },
+  batchLeaderHearsNoPeer: { ...leaseOnly, run: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'in' }) },
+  batchLeaderReachesNoPeer: { ...leaseOnly, run: async (run) => cutOff(run, await run.batchLeader('lots-0'), { lost: 'out' }) },
 };
--- a/testing/simulator/src/scenarios/scenario.ts
+++ b/testing/simulator/src/scenarios/scenario.ts
@@ -18,5 +18,5 @@
   readonly takeoverMs?: number;
   /** How long an accepted batch item may take to its first start, where the scenario bounds it. */
   readonly itemStartMs?: number;
-  readonly act: (run: SimRun) => Promise<void>;
+  readonly run: (run: SimRun) => Promise<void>;
 }
--- a/testing/simulator/src/simulation/disruption.ts
+++ b/testing/simulator/src/simulation/disruption.ts
@@ -1,5 +1,5 @@
 import type { CutMode } from '../network/index.js';
-import type { ReplicaTrouble } from './replicaTrouble.js';
+import type { ReplicaFault } from './replicaFault.js';
 import type { SimReplica } from './simReplica.js';
 import type { SimEnvironment } from './simEnvironment.js';
 import type { SimOperators } from './simOperators.js';
@@ -22,7 +22,7 @@
     this.operators = operators;
   }
 
-  span(fromMs: number, toMs: number): number {
+  randomSpan(fromMs: number, toMs: number): number {
     return fromMs + this.environment.fleet.random() * (toMs - fromMs);
   }
 
@@ -31,22 +31,22 @@
   }
 
   /** A part of some things, at least one. */
-  some<T>(all: readonly T[], ratio: number): readonly T[] {
+  randomSubset<T>(all: readonly T[], ratio: number): readonly T[] {
     const chosen = all.filter(() => this.chance(ratio));
-    return chosen.length > 0 || all.length === 0 ? chosen : [this.environment.pick(all)];
+    return chosen.length > 0 || all.length === 0 ? chosen : [this.environment.pickRandom(all)];
   }
 
   /** The machines that hold copies. */
-  keepers(): readonly string[] {
+  stateMachineHosts(): readonly string[] {
     return [...this.environment.machines('controller'), ...this.environment.machines('store')];
   }
 
-  everybody(): readonly string[] {
+  machines(): readonly string[] {
     return [...this.environment.fleet.hosts.keys()];
   }
 
   /** The replicas that serve now. */
-  replicas(): readonly SimReplica[] {
+  servingReplicas(): readonly SimReplica[] {
     return [...this.environment.fleet.replicas.values()].filter((replica) => !replica.instance.dead);
   }
 
@@ -55,35 +55,35 @@
   }
 
   /** A replica ends in the middle of what it does, and is back a moment later. */
-  breakOff(replica: SimReplica, backMs: number): void {
+  abortReplica(replica: SimReplica, backMs: number): void {
     if (replica.instance.dead) return;
     replica.instance.end();
-    this.back(replica, backMs);
+    this.scheduleReplicaStart(replica, backMs);
   }
 
   /** Cuts a machine off from all others but those named, until the network heals. */
-  cutFrom(name: string, but: readonly string[] = []): void {
+  isolateExceptFrom(name: string, but: readonly string[] = []): void {
     const { net } = this.environment.fleet;
-    for (const other of this.everybody()) {
+    for (const other of this.machines()) {
       if (other === name || but.includes(other)) continue;
       net.cut(name, other);
       net.cut(other, name);
     }
   }
 
-  cutMode(): CutMode {
-    return this.environment.pick(cutModes);
+  randomCutMode(): CutMode {
+    return this.environment.pickRandom(cutModes);
   }
 
   /** Counts machines that hold copies as lost for a while and until they have caught up; false where that is too many. */
-  lose(names: readonly string[], forMs: number): boolean {
+  reserveLoss(names: readonly string[], forMs: number): boolean {
     return this.environment.losses.lose(names, forMs + this.catchUpMs);
   }
 
   /** True when all machines that hold copies may go at once, their disks staying: none is lost or has yet to catch up. */
-  loseAll(forMs: number): boolean {
+  reserveLossOfAll(forMs: number): boolean {
     // Until then nothing else that counts is added to it.
-    return this.environment.losses.loseAll(this.keepers(), forMs + this.catchUpMs);
+    return this.environment.losses.loseAll(this.stateMachineHosts(), forMs + this.catchUpMs);
   }
 
   /** What strikes later finds only what is still there. */
@@ -94,13 +94,13 @@
   kill(name: string, backMs: number): void {
     if (!this.#present(name)) return;
     this.environment.fleet.kill(name);
-    this.environment.restart(name, backMs);
+    this.environment.scheduleRestart(name, backMs);
   }
 
   powerOff(name: string, backMs: number): void {
     if (!this.#present(name)) return;
     this.environment.fleet.powerOff(name);
-    this.environment.restart(name, backMs);
+    this.environment.scheduleRestart(name, backMs);
   }
 
   /** The machine comes back with an empty disk. */
@@ -108,25 +108,25 @@
     if (!this.#present(name)) return;
     this.environment.fleet.powerOff(name);
     this.environment.fleet.host(name).disk.lose();
-    this.environment.restart(name, backMs);
+    this.environment.scheduleRestart(name, backMs);
   }
 
   freeze(name: string, forMs: number): void {
     const { machine } = this.environment.fleet.host(name);
     machine.freeze();
-    this.environment.later(forMs, () => machine.wake());
+    this.environment.schedule(forMs, () => machine.wake());
   }
 
-  slow(name: string, ratio: number, forMs: number): void {
+  slowDown(name: string, ratio: number, forMs: number): void {
     const { machine } = this.environment.fleet.host(name);
     machine.slowRatio = ratio;
-    this.environment.later(forMs, () => {
+    this.environment.schedule(forMs, () => {
       machine.slowRatio = 1;
     });
   }
 
   /** Cuts some machines from others, both ways unless one is named. */
-  cut(
+  partition(
     names: readonly string[],
     others: readonly string[],
     forMs: number,
@@ -142,41 +142,41 @@
         if (way !== 'in') mends.push(net.cut(name, other, mode));
       }
     }
-    this.environment.later(forMs, () => mends.forEach((mend) => mend()));
+    this.environment.schedule(forMs, () => mends.forEach((mend) => mend()));
   }
 
   /** Cuts a machine that holds copies from everybody, if that may be. */
   isolate(name: string): boolean {
-    const forMs = this.span(1000, 9000);
-    if (!this.lose([name], forMs)) return false;
-    this.cut([name], this.everybody(), forMs, this.cutMode());
+    const forMs = this.randomSpan(1000, 9000);
+    if (!this.reserveLoss([name], forMs)) return false;
+    this.partition([name], this.machines(), forMs, this.randomCutMode());
     return true;
   }
 
   /** The fleet knows of the end of this life after a while. */
-  ends(replica: SimReplica, afterMs: number): void {
+  scheduleReplicaEnd(replica: SimReplica, afterMs: number): void {
     const { instance } = replica;
-    this.environment.later(afterMs, () => {
+    this.environment.schedule(afterMs, () => {
       if (replica.instance === instance)
         this.environment.fleet.note({ type: 'replicaEnds', atMs: this.environment.fleet.time.nowMs, replica: replica.address });
     });
   }
 
-  back(replica: SimReplica, afterMs: number): void {
-    this.environment.later(afterMs, () => {
+  scheduleReplicaStart(replica: SimReplica, afterMs: number): void {
+    this.environment.schedule(afterMs, () => {
       if (replica.instance.dead) this.environment.fleet.startReplica(replica, () => this.environment.traffic.front().proxy);
     });
   }
 
   /** It falls over, and its silence is what tells. */
-  crash(replica: SimReplica, backMs: number): void {
+  crashReplica(replica: SimReplica, backMs: number): void {
     replica.instance.end();
-    this.ends(replica, 6000);
-    this.back(replica, backMs);
+    this.scheduleReplicaEnd(replica, 6000);
+    this.scheduleReplicaStart(replica, backMs);
   }
 
   /** A replica says that it leaves; from the taking of its word on, nothing may reach it for long. It ends after `noticeMs`. */
-  leave(replica: SimReplica, noticeMs: number, backMs: number): void {
+  drainReplica(replica: SimReplica, noticeMs: number, backMs: number): void {
     const { proxy } = this.environment.traffic.front();
     replica.announcing = false;
     if (!this.environment.fleet.announce(replica, replica.incarnation, 'leaving', proxy)) {
@@ -184,51 +184,51 @@
       return;
     }
     const { instance } = replica;
-    this.ends(replica, 0);
-    this.environment.later(noticeMs, () => instance.end());
-    this.back(replica, backMs);
+    this.scheduleReplicaEnd(replica, 0);
+    this.environment.schedule(noticeMs, () => instance.end());
+    this.scheduleReplicaStart(replica, backMs);
   }
 
   /** Something is wrong with a replica for a while. */
-  trouble(replica: SimReplica, trouble: ReplicaTrouble, forMs: number): void {
-    replica.trouble = trouble;
-    this.environment.later(forMs, () => {
-      if (replica.trouble === trouble) replica.trouble = undefined;
+  injectReplicaFault(replica: SimReplica, trouble: ReplicaFault, forMs: number): void {
+    replica.fault = trouble;
+    this.environment.schedule(forMs, () => {
+      if (replica.fault === trouble) replica.fault = undefined;
     });
   }
 
   /** A replica says for a while that it has so many times the room that it has. */
-  overclaim(replica: SimReplica, ratio: number, forMs: number): void {
+  overstateCapacity(replica: SimReplica, ratio: number, forMs: number): void {
     replica.claimRatio = ratio;
-    this.environment.later(forMs, () => {
+    this.environment.schedule(forMs, () => {
       replica.claimRatio = 1;
     });
   }
 
   /** Two replicas that serve different services. */
-  pairOfServices(): readonly SimReplica[] {
-    const one = this.environment.pick(this.replicas());
-    const others = this.replicas().filter(({ services }) => services !== one.services);
-    return others.length === 0 ? [] : [one, this.environment.pick(others)];
+  replicasOfTwoServices(): readonly SimReplica[] {
+    const one = this.environment.pickRandom(this.servingReplicas());
+    const others = this.servingReplicas().filter(({ services }) => services !== one.services);
+    return others.length === 0 ? [] : [one, this.environment.pickRandom(others)];
   }
 
   /** One more replica like another, at an address of its own, if there is one left. */
   addReplica(like: SimReplica): void {
-    const replica = this.environment.newReplica(like);
+    const replica = this.environment.addReplica(like);
     if (replica !== undefined) this.environment.fleet.startReplica(replica, () => this.environment.traffic.front().proxy);
   }
 
   /** The date of some machines jumps, and back after a while. */
   stepClocks(share: number, stepMs: number, forMs: number): void {
-    const machines = this.some([...this.environment.fleet.hosts.values()], share).map(({ machine }) => machine);
+    const machines = this.randomSubset([...this.environment.fleet.hosts.values()], share).map(({ machine }) => machine);
     for (const machine of machines) machine.steppedMs += stepMs;
-    this.environment.later(forMs, () => {
+    this.environment.schedule(forMs, () => {
       for (const machine of machines) machine.steppedMs -= stepMs;
     });
   }
 
   /** From now on the settings name three controllers that are there, in an order drawn anew. */
-  turnSeeds(): void {
+  shuffleSeeds(): void {
     const { fleet } = this.environment;
     const drawn = fleet.named('controller').map(({ address }) => ({ address, order: fleet.random() }));
     fleet.seeds = drawn
@@ -238,7 +238,7 @@
   }
 
   /** Puts a change in force for a while. It is taken back only once it is known what became of it, and until that is confirmed. */
-  async changeForAWhile(part: Record<string, unknown>, back: Record<string, unknown>, forMs: number): Promise<void> {
+  async changeTemporarily(part: Record<string, unknown>, back: Record<string, unknown>, forMs: number): Promise<void> {
     await this.#outcomeOf(part);
     await this.#wait(forMs);
     for (let attempts = 0; attempts < maxAttempts && (await this.#outcomeOf(back)) !== 'confirmed'; attempts += 1)
@@ -247,10 +247,10 @@
 
   /** What became of a change; whoever was asked may be gone before saying so. */
   #outcomeOf(part: Record<string, unknown>): Promise<string> {
-    return Promise.race([this.environment.operate({ part }), this.#wait(maxChangeMs).then(() => 'unknown')]);
+    return Promise.race([this.environment.changeConfiguration({ part }), this.#wait(maxChangeMs).then(() => 'unknown')]);
   }
 
   #wait(waitMs: number): Promise<void> {
-    return new Promise((resolve) => this.environment.later(waitMs, resolve));
+    return new Promise((resolve) => this.environment.schedule(waitMs, resolve));
   }
 }
--- a/testing/simulator/src/simulation/index.ts
+++ b/testing/simulator/src/simulation/index.ts
@@ -1,6 +1,6 @@
 export * from './countedLosses.js';
 export * from './disruption.js';
-export * from './replicaTrouble.js';
+export * from './replicaFault.js';
 export * from './simDeployments.js';
 export * from './simEnvironment.js';
 export * from './simRun.js';
--- a/testing/simulator/src/simulation/replicaTrouble.ts
+++ b/testing/simulator/src/simulation/replicaFault.ts
@@ -1,5 +1,5 @@
 /** What is wrong with a replica that goes on announcing itself. */
-export interface ReplicaTrouble {
+export interface ReplicaFault {
   readonly kind:
     /** Runs the task and answers with an error. */
     | 'errors'
--- a/testing/simulator/src/simulation/simEnvironment.ts
+++ b/testing/simulator/src/simulation/simEnvironment.ts
@@ -71,25 +71,25 @@
   }
 
   /** Lets so much time go by. */
-  async pass(waitMs: number): Promise<void> {
+  async advance(waitMs: number): Promise<void> {
     await this.fleet.time.runTo(this.fleet.time.nowMs + waitMs);
   }
 
   /** Lets time go by until something has come about, a millisecond at a time. */
-  async until<T>(coming: Promise<T>, patienceMs: number): Promise<T> {
+  async advanceUntilSettled<T>(coming: Promise<T>, timeoutMs: number): Promise<T> {
     let over = false;
     const done = coming.finally(() => {
       over = true;
     });
     done.catch(() => undefined);
-    for (let waitedMs = 0; !over && waitedMs < patienceMs; waitedMs += 1) await this.pass(1);
-    if (!over) throw new Error(`not in ${patienceMs} ms of virtual time`);
+    for (let waitedMs = 0; !over && waitedMs < timeoutMs; waitedMs += 1) await this.advance(1);
+    if (!over) throw new Error(`not in ${timeoutMs} ms of virtual time`);
     return done;
   }
 
   /** Lets time go by until something has come about, or its time is over: then the history has to show what became of it. */
-  async giveTime(coming: Promise<unknown>, patienceMs: number): Promise<void> {
-    await this.until(coming, patienceMs).catch(() => undefined);
+  async advanceAtMost(coming: Promise<unknown>, timeoutMs: number): Promise<void> {
+    await this.advanceUntilSettled(coming, timeoutMs).catch(() => undefined);
   }
 
   /** The store machine that leads a shard of the lots, or any. */
@@ -102,11 +102,11 @@
   }
 
   /** Does something after a while of virtual time; the scenario goes on meanwhile. */
-  later(waitMs: number, run: () => void): void {
+  schedule(waitMs: number, run: () => void): void {
     this.fleet.time.after(waitMs, run);
   }
 
-  pick<T>(all: readonly T[]): T {
+  pickRandom<T>(all: readonly T[]): T {
     const one = all[Math.floor(this.fleet.random() * all.length)];
     if (one === undefined) throw new Error('nothing to pick from');
     return one;
@@ -125,8 +125,8 @@
   }
 
   /** A machine's process ends politely: what it holds is handed on first. */
-  leave(name: string): void {
-    this.fleet.leave(name);
+  shutDown(name: string): void {
+    this.fleet.shutDown(name);
   }
 
   /** The names of all machines of a role. */
@@ -135,38 +135,38 @@
   }
 
   /** Starts a machine's process again after a while, unless something else did. */
-  restart(name: string, afterMs: number): void {
-    this.later(afterMs, () => {
+  scheduleRestart(name: string, afterMs: number): void {
+    this.schedule(afterMs, () => {
       if (this.fleet.hosts.has(name) && this.fleet.host(name).process === undefined) this.fleet.start(name);
     });
   }
 
   /** A new machine of a role, at an address that nobody had, not yet started. Returns its name. */
-  newMachine(role: 'controller' | 'store' | 'front'): string {
+  addMachine(role: 'controller' | 'store' | 'front'): string {
     this.#added += 1;
     const { net, prefix } = newMachines[role];
     return this.fleet.addHost(role, `${prefix}-new-${this.#added}`, `127.0.${net}.${this.#added}`).machine.name;
   }
 
   /** One more replica like another, while there are addresses that the configuration allows. */
-  newReplica(like: SimReplica): SimReplica | undefined {
+  addReplica(like: SimReplica): SimReplica | undefined {
     return this.fleet.replicas.size < this.hosts.length ? this.fleet.addReplica(like) : undefined;
   }
 
   /** A machine ends politely and is gone for good a while later. */
-  takeAway(name: string): void {
+  decommission(name: string): void {
     if (!this.fleet.hosts.has(name)) return;
-    this.fleet.leave(name);
-    this.later(leavingMs, () => this.fleet.remove(name));
+    this.fleet.shutDown(name);
+    this.schedule(leavingMs, () => this.fleet.remove(name));
   }
 
   /** Has a store emptied, and takes it away with its disk as soon as it is told that it may. Says whether that came about. */
-  async retire(name: string, patienceMs = 20_000): Promise<boolean> {
-    const untilMs = this.fleet.time.nowMs + patienceMs;
-    const operatorApi = (): OperatorApi | undefined => this.pick(this.fleet.named('controller')).process?.operatorApi;
+  async emptyAndRemove(name: string, timeoutMs = 20_000): Promise<boolean> {
+    const untilMs = this.fleet.time.nowMs + timeoutMs;
+    const operatorApi = (): OperatorApi | undefined => this.pickRandom(this.fleet.named('controller')).process?.operatorApi;
     const store = v.parse(NodeName, name);
     while (this.fleet.time.nowMs < untilMs) {
-      await new Promise<void>((resolve) => this.later(100, resolve));
+      await new Promise<void>((resolve) => this.schedule(100, resolve));
       const started = await operatorApi()
         ?.empty(store)
         .catch(() => undefined);
@@ -178,18 +178,18 @@
           : undefined;
       if (settled !== 'settled') continue;
       if (this.fleet.hosts.has(name)) this.fleet.remove(name);
-      this.fault(`${name} was emptied and is taken away`);
+      this.noteFault(`${name} was emptied and is taken away`);
       return true;
     }
     return false;
   }
 
-  fault(what: string): void {
+  noteFault(what: string): void {
     this.fleet.note({ type: 'faulted', atMs: this.fleet.time.nowMs, what });
   }
 
   /** Plans and confirms a change; the history records the result, which is returned. */
-  operate(proposal: Record<string, unknown>, at?: string): Promise<string> {
+  changeConfiguration(proposal: Record<string, unknown>, at?: string): Promise<string> {
     return this.configurationClient.change(proposal, at);
   }
 
--- a/testing/simulator/src/simulation/simFleet.ts
+++ b/testing/simulator/src/simulation/simFleet.ts
@@ -147,7 +147,7 @@
     host.process = process;
     host.machine.run(() => {
       if (host.role === 'front') this.#startFront(host, process);
-      else this.#startKeeper(host, process);
+      else this.#startStateMachineHost(host, process);
     });
   }
 
@@ -182,7 +182,7 @@
   }
 
   /** The process ends politely, as on the first signal; it is over a moment later. */
-  leave(name: string): void {
+  shutDown(name: string): void {
     const { process, machine } = this.hosts.get(name) ?? {};
     if (process === undefined || machine === undefined) return;
     const over = process.controller?.leave() ?? process.store?.leave() ?? Promise.resolve();
@@ -226,7 +226,7 @@
     return told.every((one, position) => one === 'taken' || Object.keys(replica.services)[position] === 'ghost');
   }
 
-  #startKeeper(host: SimHost, process: Process): void {
+  #startStateMachineHost(host: SimHost, process: Process): void {
     const { machine, disk } = host;
     const { instance, counters } = process;
     const clock = new SimClock(this.time, machine, instance);
@@ -313,8 +313,8 @@
   #log(name: string): Log {
     const trace = this.#trace;
     if (trace === undefined) return quietLog;
-    const say = (line: string): void => trace(`${(this.time.nowMs / 1000).toFixed(3)} ${name} ${line}`);
-    return { info: say, warn: say, error: say };
+    const print = (line: string): void => trace(`${(this.time.nowMs / 1000).toFixed(3)} ${name} ${line}`);
+    return { info: print, warn: print, error: print };
   }
 }
 
--- a/testing/simulator/src/simulation/simOperators.ts
+++ b/testing/simulator/src/simulation/simOperators.ts
@@ -35,30 +35,30 @@
   }
 
   /** Sends an order until an acknowledgement arrives; what the operator then knows. */
-  async order(options: OrderOptions = {}): Promise<Verdict> {
+  async sendChange(options: OrderOptions = {}): Promise<Verdict> {
     const basedOn = options.basedOn ?? (await this.revision());
     if (basedOn === undefined) return 'unclear';
     return this.#send(this.#change(basedOn, basedOn + (options.ahead ?? 1)), options);
   }
 
   /** Several operators at once, each at a controller of its own, on one version; each number as far ahead of it as said. */
-  async race(ahead: readonly number[], lossRatio = 0): Promise<readonly Verdict[]> {
+  async sendConcurrently(ahead: readonly number[], lossRatio = 0): Promise<readonly Verdict[]> {
     const basedOn = await this.revision();
     if (basedOn === undefined) return [];
     const controllers = this.#environment.machines('controller');
     const all = ahead.map((step, position) =>
-      this.order({ basedOn, ahead: step, lossRatio, at: controllers[position % controllers.length] }),
+      this.sendChange({ basedOn, ahead: step, lossRatio, at: controllers[position % controllers.length] }),
     );
     return Promise.all(all);
   }
 
   /** From now on an operator sends an order every so often, until it is stopped. Now and then it sends old ones again. */
-  keepOn(everyMs: number, lossRatio: number): void {
-    this.#environment.later(everyMs, () => {
+  sendPeriodically(everyMs: number, lossRatio: number): void {
+    this.#environment.schedule(everyMs, () => {
       if (this.#stopped) return;
       const again = this.#environment.fleet.random() < againRatio;
-      void (again ? this.repeatAll(1) : this.order({ lossRatio }));
-      this.keepOn(everyMs, lossRatio);
+      void (again ? this.resendOldestAndNewest(1) : this.sendChange({ lossRatio }));
+      this.sendPeriodically(everyMs, lossRatio);
     });
   }
 
@@ -67,13 +67,13 @@
   }
 
   /** Sends so many of the oldest orders, and as many of the newest, once more as they were. */
-  async repeatAll(limit: number): Promise<void> {
+  async resendOldestAndNewest(limit: number): Promise<void> {
     const chosen = new Set([...this.#sent.slice(0, limit), ...this.#sent.slice(-limit)]);
     for (const change of chosen) await this.#send(change, {});
   }
 
   /** Orders that must not be taken: on an old version, on one that never was, under a number that is used, and cut short. */
-  async wrongOrders(): Promise<void> {
+  async sendInvalidChanges(): Promise<void> {
     const revision = await this.revision();
     if (revision === undefined) return;
     const good = this.#change(revision, revision + 1);
@@ -88,7 +88,7 @@
 
   /** The operator's number in force, read at any controller. */
   async revision(): Promise<number | undefined> {
-    const read = await this.#patiently(this.#operatorApi(undefined, undefined)?.operatorApi.configuration(ackMs));
+    const read = await this.#withTimeout(this.#operatorApi(undefined, undefined)?.operatorApi.configuration(ackMs));
     return read === undefined ? undefined : (read.configuration?.revision ?? 0);
   }
 
@@ -115,21 +115,21 @@
     for (let sends = 0; sends < maxSends; sends += 1) {
       const to = this.#operatorApi(sends === 0 ? options.at : undefined, last);
       last = to?.name;
-      const outcome = await this.#patiently(to?.operatorApi.set(change, ackMs).then((response) => response.outcome));
+      const outcome = await this.#withTimeout(to?.operatorApi.set(change, ackMs).then((response) => response.outcome));
       if (outcome !== undefined) {
         const lost = fleet.random() < (options.lossRatio ?? 0);
         fleet.note({ type: 'orderAnswered', atMs: fleet.time.nowMs, order, outcome, lost });
         if (!lost) return outcome;
       }
-      await new Promise<void>((resolve) => this.#environment.later(againMs, resolve));
+      await new Promise<void>((resolve) => this.#environment.schedule(againMs, resolve));
     }
     return 'unclear';
   }
 
   /** What comes of an answer that may never come: whoever was asked may be gone. */
-  #patiently<T>(answer: Promise<T> | undefined): Promise<T | undefined> {
+  #withTimeout<T>(answer: Promise<T> | undefined): Promise<T | undefined> {
     if (answer === undefined) return Promise.resolve(undefined);
-    const patience = new Promise<undefined>((resolve) => this.#environment.later(ackMs, () => resolve(undefined)));
+    const patience = new Promise<undefined>((resolve) => this.#environment.schedule(ackMs, () => resolve(undefined)));
     return Promise.race([answer.catch(() => undefined), patience]);
   }
 
--- a/testing/simulator/src/simulation/simReplica.ts
+++ b/testing/simulator/src/simulation/simReplica.ts
@@ -1,6 +1,6 @@
 import type { Address } from '@pewterlanding/model';
 import type { Instance, SimMachine } from '../engine/index.js';
-import type { ReplicaTrouble } from './replicaTrouble.js';
+import type { ReplicaFault } from './replicaFault.js';
 
 interface SimService {
   readonly kind: 'streamed' | 'whole';
@@ -22,5 +22,5 @@
   announcing: boolean;
   /** How many slots it says that it has, as a ratio to those that it has. */
   claimRatio: number;
-  trouble?: ReplicaTrouble | undefined;
+  fault?: ReplicaFault | undefined;
 }
--- a/testing/simulator/src/simulation/simReplicaTransport.ts
+++ b/testing/simulator/src/simulation/simReplicaTransport.ts
@@ -4,7 +4,7 @@
 import * as v from 'valibot';
 import type { HistoryEvent } from '../history/index.js';
 import type { Instance, SimMachine, SimTime } from '../engine/index.js';
-import type { ReplicaTrouble } from './replicaTrouble.js';
+import type { ReplicaFault } from './replicaFault.js';
 import type { SimNet } from '../network/index.js';
 import type { SimReplica } from './simReplica.js';
 
@@ -63,13 +63,13 @@
       time.after(net.delayMs(machine, replica.machine), () =>
         replica.machine.run(() => {
           // Whatever the replica sends back crosses the network to a front that may be gone by then.
-          const send = (say: () => void): void => {
+          const send = (print: () => void): void => {
             if (!net.passes(replica.machine.name, machine.name)) return;
             // One circuit keeps its order.
             lastMs = Math.max(lastMs, time.nowMs + net.delayMs(replica.machine, machine));
             time.after(lastMs - time.nowMs, () =>
               machine.run(() => {
-                if (!over && !instance.dead) say();
+                if (!over && !instance.dead) print();
               }),
             );
           };
@@ -147,9 +147,9 @@
   }
 
   /** What is wrong with the replica for this task, if anything is. */
-  #met(replica: SimReplica): ReplicaTrouble | undefined {
+  #met(replica: SimReplica): ReplicaFault | undefined {
     const { machine, random } = this.#options;
-    const { trouble } = replica;
+    const { fault: trouble } = replica;
     if (trouble === undefined || (trouble.zone !== undefined && trouble.zone !== machine.zone)) return undefined;
     return random() < trouble.ratio ? trouble : undefined;
   }
--- a/testing/simulator/src/simulation/simRun.ts
+++ b/testing/simulator/src/simulation/simRun.ts
@@ -25,7 +25,7 @@
     for (const name of this.fleet.hosts.keys()) this.fleet.start(name);
     await this.fleet.time.runTo(4000);
     this.fleet.bootstrap = false;
-    const first = this.operate({ whole: this.configuration });
+    const first = this.changeConfiguration({ whole: this.configuration });
     await this.fleet.time.runTo(8000);
     if ((await first) !== 'confirmed') throw new Error('the first setup was not confirmed');
     for (const replica of this.fleet.replicas.values()) this.fleet.startReplica(replica, () => this.traffic.front().proxy);
@@ -43,13 +43,13 @@
     this.#repair();
     const repairedMs = fleet.time.nowMs;
     fleet.note({ type: 'repaired', atMs: repairedMs });
-    await this.pass(8000);
+    await this.advance(8000);
     const read = this.readConfiguration();
-    await this.pass(8000);
-    await this.until(read, 20_000).catch(() => undefined);
+    await this.advance(8000);
+    await this.advanceUntilSettled(read, 20_000).catch(() => undefined);
     this.operators.stop();
     this.traffic.stop();
-    await this.pass(2000);
+    await this.advance(2000);
     const verdicts = judge(fleet.history, { ...briefBounds, takeoverMs, itemStartMs, shares: this.#shares() });
     return {
       verdicts,
@@ -73,7 +73,7 @@
     }
     for (const replica of fleet.replicas.values()) {
       replica.machine.wake();
-      replica.trouble = undefined;
+      replica.fault = undefined;
       replica.claimRatio = 1;
       if (replica.instance.dead || !replica.announcing) fleet.startReplica(replica, () => this.traffic.front().proxy);
     }
--- a/testing/simulator/src/simulation/simTraffic.ts
+++ b/testing/simulator/src/simulation/simTraffic.ts
@@ -43,7 +43,7 @@
   readonly acceptedMs: number;
 }
 
-const patienceMs = 15_000;
+const timeoutMs = 15_000;
 /** Owners that read at the same time; the others wait for theirs. */
 const maxReaders = 12;
 const Piece = v.object({ run: v.string(), number: v.number(), of: v.number() });
@@ -113,7 +113,7 @@
       cancel();
       history.push({ type: 'told', atMs: time.nowMs, key, outcome, status, wrong, ...(kind === 'streamed' ? { pieces } : {}) });
     };
-    const cancel = time.after(patienceMs, () => {
+    const cancel = time.after(timeoutMs, () => {
       told('lost');
       this.#at(name, () => abort.abort());
     });
--- a/testing/simulator/test/auditArchive.test.ts
+++ b/testing/simulator/test/auditArchive.test.ts
@@ -49,8 +49,8 @@
       const clock = new SimClock(time, machine, instance);
       const transport = new SimTransport({ here, machine, instance, clock, counters, net });
       const peers = (): readonly Address[] => addresses.filter((address) => address !== here);
-      const ground = { disk: disk.open(instance), transport, clock, counters, failureTimeoutMs };
-      return { instance, archive: new AuditArchive({ ...ground, head: () => head, peers }) };
+      const context = { disk: disk.open(instance), transport, clock, counters, failureTimeoutMs };
+      return { instance, archive: new AuditArchive({ ...context, head: () => head, peers }) };
     };
     const read = async (archive: AuditArchive): Promise<readonly AuditLine[]> => {
       let got: readonly AuditLine[] | undefined;
--- a/testing/simulator/test/catchUp.test.ts
+++ b/testing/simulator/test/catchUp.test.ts
@@ -25,16 +25,16 @@
       await run.begin(false);
       const off = run.machines('controller').find((name) => name !== run.configurationLeader()) ?? '';
       run.fleet.powerOff(off);
-      for (let order = 0; order < missed; order += 1) await run.until(run.operators.order(), 20_000);
-      run.operators.keepOn(50, 0);
+      for (let order = 0; order < missed; order += 1) await run.advanceUntilSettled(run.operators.sendChange(), 20_000);
+      run.operators.sendPeriodically(50, 0);
       const target = committedAt(run, run.configurationLeader());
       const before = run.fleet.net.messages;
-      await run.pass(usualMs);
+      await run.advance(usualMs);
       const usual = (run.fleet.net.messages - before) / usualMs;
       const messages = run.fleet.net.messages;
       run.fleet.start(off);
       const startMs = run.fleet.time.nowMs;
-      while (committedAt(run, off) < target && run.fleet.time.nowMs - startMs < run.disruption.catchUpMs) await run.pass(10);
+      while (committedAt(run, off) < target && run.fleet.time.nowMs - startMs < run.disruption.catchUpMs) await run.advance(10);
       expect(committedAt(run, off) >= target).toEqual(true);
       expect(run.fleet.time.nowMs - startMs).toBeLessThan(run.disruption.catchUpMs / 2);
       // In steps: beside what is said at any time, there is no message for each change that was missed.
--- a/testing/simulator/test/configurationChange.test.ts
+++ b/testing/simulator/test/configurationChange.test.ts
@@ -10,18 +10,22 @@
     const version = (name: string): number => fleet.host(name).process?.proxy?.routingState.tables.version ?? 0;
     const unknown = (): number =>
       [...fleet.hosts.values()].reduce((sum, host) => sum + (host.process?.counters.get('membership.changeUnknown') ?? 0), 0);
-    expect(await run.until(run.operate({ part: { bounds: { batchConcurrencyLimit: 111 } } }), 20_000)).toEqual('confirmed');
+    expect(await run.advanceUntilSettled(run.changeConfiguration({ part: { bounds: { batchConcurrencyLimit: 111 } } }), 20_000)).toEqual(
+      'confirmed',
+    );
     expect([version('front-2'), unknown()]).toEqual([2, 0]);
     for (const other of fleet.hosts.keys()) {
       fleet.net.cut('front-2', other);
       fleet.net.cut(other, 'front-2');
     }
-    expect(await run.until(run.operate({ part: { bounds: { batchConcurrencyLimit: 112 } } }), 20_000)).toEqual('confirmed');
-    const late = run.operate({ part: { bounds: { batchConcurrencyLimit: 113 } } });
-    await run.pass(20);
+    expect(await run.advanceUntilSettled(run.changeConfiguration({ part: { bounds: { batchConcurrencyLimit: 112 } } }), 20_000)).toEqual(
+      'confirmed',
+    );
+    const late = run.changeConfiguration({ part: { bounds: { batchConcurrencyLimit: 113 } } });
+    await run.advance(20);
     fleet.net.heal();
-    expect(await run.until(late, 20_000)).toEqual('confirmed');
-    await run.pass(3000);
+    expect(await run.advanceUntilSettled(late, 20_000)).toEqual('confirmed');
+    await run.advance(3000);
     // It took neither change on a version it did not hold, and has the newest.
     expect([
       version('front-2'),
--- a/testing/simulator/test/cutOffCases.ts
+++ b/testing/simulator/test/cutOffCases.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { of, partialPartitionScenarios, simScenario } from '../src/index.js';
+import { eventsOfType, partialPartitionScenarios, simScenario } from '../src/index.js';
 
 const itemStartRule = 'an accepted batch item waits too long for its start';
 const registerRule = 'a confirmed setup is forgotten, or a refused one takes effect';
@@ -18,7 +18,7 @@
           const judged = (rule: string): number => verdicts.find((verdict) => verdict.rule === rule)?.judged ?? 0;
           expect([judged(itemStartRule) > 0, judged(registerRule) > 0]).toEqual([true, true]);
           // Operators at the other machines are served throughout.
-          expect(of(history, 'confirmed').length > 1).toEqual(true);
+          expect(eventsOfType(history, 'confirmed').length > 1).toEqual(true);
         });
       }
     }
--- a/testing/simulator/test/grown.test.ts
+++ b/testing/simulator/test/grown.test.ts
@@ -25,15 +25,15 @@
   const hosts = run.fleet.named('front');
   const spin = (): void => {
     for (const { process } of hosts)
-      void process?.proxy?.selector.enter(desired, 0, signal).then((selected) => run.later(150, () => selected?.leave('well')));
-    run.later(90, spin);
+      void process?.proxy?.selector.enter(desired, 0, signal).then((selected) => run.schedule(150, () => selected?.leave('well')));
+    run.schedule(90, spin);
   };
   spin();
   const count = (name: string): number => hosts.reduce((sum, { process }) => sum + (process?.counters.get(name) ?? 0), 0);
   const names = ['agent.feeds', 'agent.heldTold', 'agent.askedFresh'] as const;
-  await run.pass(3000);
+  await run.advance(3000);
   const before = names.map(count);
-  await run.pass(4000);
+  await run.advance(4000);
   const [feeds = 0, held = 0, asked = 0] = names.map((name, at) => (count(name) - (before[at] ?? 0)) / fronts / 4);
   return { feeds, held, asked };
 }
--- a/testing/simulator/test/handover.test.ts
+++ b/testing/simulator/test/handover.test.ts
@@ -40,7 +40,7 @@
     const term = fleet.host(holder).process?.controller?.singletonRole()?.term ?? 0;
     const balances = { purses: [], open: [], fronts: [] };
     const hand = (to: Address, ended: number): Promise<boolean> =>
-      run.until(
+      run.advanceUntilSettled(
         transport.ask(to, controllerCalls.handRole, { role: 'dispatch', term: ended, balances }, 2000).then(({ taken }) => taken),
         3000,
       );
@@ -55,7 +55,7 @@
       () => 'taken',
       () => 'refused',
     );
-    expect(await run.until(unreadable, 3000)).toEqual('refused');
+    expect(await run.advanceUntilSettled(unreadable, 3000)).toEqual('refused');
     expect(other.process?.counters.get('wire.unreadable')).toEqual(1);
     // The holder is still the holder.
     expect(run.dispatcher()).toEqual(holder);
--- a/testing/simulator/test/initialUpdate.test.ts
+++ b/testing/simulator/test/initialUpdate.test.ts
@@ -46,14 +46,14 @@
 describe('what a front asks at its start', () => {
   it('brings it the setup before its agent is up', async () => {
     const { stateTable, run } = await starting('late-1');
-    await run.pass(heartbeatMs / 10);
+    await run.advance(heartbeatMs / 10);
     expect(stateTable.get('setup') === undefined).toEqual(false);
   });
 
   it('is asked of another controller where one does not listen, whichever it begins with', async () => {
     for (const name of ['late-1', 'late-2', 'late-3', 'late-4']) {
       const { stateTable, run } = await starting(name, ['core-1', 'core-2']);
-      await run.pass(heartbeatMs / 2);
+      await run.advance(heartbeatMs / 2);
       expect(stateTable.get('setup') === undefined).toEqual(false);
     }
   });
@@ -61,7 +61,7 @@
   it('is asked of another controller where one says nothing, as without power', async () => {
     for (const name of ['late-1', 'late-2', 'late-3', 'late-4']) {
       const { stateTable, run } = await starting(name, [], ['core-1', 'core-2']);
-      await run.pass(heartbeatMs / 2);
+      await run.advance(heartbeatMs / 2);
       expect(stateTable.get('setup') === undefined).toEqual(false);
     }
   });
@@ -69,12 +69,12 @@
   it('ends when the agent is heard, and by itself when none ever is', async () => {
     const heard = await starting('late-1');
     heard.initialUpdate.close();
-    await heard.run.pass(heartbeatMs * 10);
+    await heard.run.advance(heartbeatMs * 10);
     expect(heard.stateTable.get('setup')).toEqual(undefined);
     const alone = await starting('late-2');
-    await alone.run.pass(heartbeatMs * 9);
+    await alone.run.advance(heartbeatMs * 9);
     const asked = alone.counters.get('proxy.firstNews') + alone.counters.get('proxy.firstNewsFailed');
-    await alone.run.pass(heartbeatMs * 20);
+    await alone.run.advance(heartbeatMs * 20);
     expect(alone.counters.get('proxy.firstNews') + alone.counters.get('proxy.firstNewsFailed')).toEqual(asked);
   });
 });
--- a/testing/simulator/test/joining.test.ts
+++ b/testing/simulator/test/joining.test.ts
@@ -31,35 +31,35 @@
       members.every(([shard, names]) => names.split(' ').length === copies && !names.includes('?') && holds(names, shard));
     if (whole) return run.fleet.time.nowMs - beganMs;
     if (run.fleet.time.nowMs - beganMs > 10_000) throw new Error(`not whole: ${JSON.stringify(members)}`);
-    await run.pass(50);
+    await run.advance(50);
   }
 }
 
 /** A machine goes for good, and a while later an empty one comes at a new address. */
 async function replace(run: SimRun, old: string, name: string, ip: string): Promise<void> {
   const { role } = run.fleet.host(old);
-  run.fault(`${old} is gone for good`);
+  run.noteFault(`${old} is gone for good`);
   run.fleet.kill(old);
   run.fleet.hosts.delete(old);
-  await run.pass(1500);
+  await run.advance(1500);
   run.fleet.addHost(role, name, ip);
   run.fleet.start(name);
 }
 
 /** A machine loses its disk and is back after a moment. */
 async function wipe(run: SimRun, name: string): Promise<void> {
-  run.fault(`${name} loses its disk`);
+  run.noteFault(`${name} loses its disk`);
   run.fleet.kill(name);
   run.fleet.host(name).disk.lose();
-  await run.pass(800);
+  await run.advance(800);
   run.fleet.start(name);
 }
 
 async function powerCycle(run: SimRun, wiped: readonly string[]): Promise<void> {
-  run.fault('all lose power');
+  run.noteFault('all lose power');
   for (const name of run.fleet.hosts.keys()) run.fleet.kill(name);
   for (const name of wiped) run.fleet.host(name).disk.lose();
-  await run.pass(1000);
+  await run.advance(1000);
   for (const name of run.fleet.hosts.keys()) run.fleet.start(name);
 }
 
@@ -67,17 +67,17 @@
 
 async function emptyStore(run: SimRun, name: string): Promise<string> {
   const operatorApi = run.fleet.host('core-2').process?.operatorApi;
-  return operatorApi === undefined ? 'nobody' : run.until(operatorApi.empty(named(name)), 5000);
+  return operatorApi === undefined ? 'nobody' : run.advanceUntilSettled(operatorApi.empty(named(name)), 5000);
 }
 
 async function emptied(run: SimRun, name: string): Promise<number> {
   const beganMs = run.fleet.time.nowMs;
   for (;;) {
     const operatorApi = run.fleet.host('core-2').process?.operatorApi;
-    if (operatorApi !== undefined && (await run.until(operatorApi.emptied(named(name)), 5000)) === 'settled')
+    if (operatorApi !== undefined && (await run.advanceUntilSettled(operatorApi.emptied(named(name)), 5000)) === 'settled')
       return run.fleet.time.nowMs - beganMs;
     if (run.fleet.time.nowMs - beganMs > 10_000) throw new Error(`${name} was not emptied`);
-    await run.pass(100);
+    await run.advance(100);
   }
 }
 
@@ -94,14 +94,14 @@
     await wholeAfterMs(run, 3, () => true);
     await replace(run, 'store-2', 'store-9', '127.0.30.9');
     expect(await wholeAfterMs(run, 3, (names, shard) => !shard.startsWith('lots') || names.includes('store-9'))).toBeLessThan(3500);
-    await run.pass(2000);
+    await run.advance(2000);
     await wipe(run, 'store-1');
     expect(await wholeAfterMs(run, 3, () => true)).toBeLessThan(3500);
-    await run.pass(2000);
+    await run.advance(2000);
     // The same name at another address is another machine.
     await replace(run, 'core-1', 'core-1', '127.0.20.9');
     expect(await wholeAfterMs(run, 3, (names, shard) => shard.startsWith('lots') || names.includes('127.0.20.9'))).toBeLessThan(3500);
-    await run.pass(2000);
+    await run.advance(2000);
     await wipe(run, 'core-2');
     expect(await wholeAfterMs(run, 3, () => true)).toBeLessThan(3500);
     await expectClean(run);
@@ -112,9 +112,9 @@
     await run.begin();
     for (const lost of ['core-1', 'store-1', 'core-3', 'store-3']) {
       await powerCycle(run, [lost]);
-      await run.pass(3000);
+      await run.advance(3000);
       await wholeAfterMs(run, 3, () => true);
-      await run.pass(2000);
+      await run.advance(2000);
     }
     expect(run.fleet.hosts.size).toEqual(10);
     await expectClean(run);
@@ -124,7 +124,7 @@
     const run = new SimRun({ seed: 73, stores: 4, batches: 2, joining: { copies: 3 } });
     await run.begin();
     expect(await emptyStore(run, 'store-7')).toEqual('unknown');
-    run.fault('empty store-1');
+    run.noteFault('empty store-1');
     expect(await emptyStore(run, 'store-1')).toEqual('started');
     expect(await emptyStore(run, 'store-1')).toEqual('started');
     expect(await emptied(run, 'store-1')).toBeLessThan(3000);
@@ -134,12 +134,12 @@
     for (const name of ['store-2', 'store-3', 'store-4']) {
       await wipe(run, name);
       await wholeAfterMs(run, 3, (names) => !names.includes('store-1'));
-      await run.pass(3000);
+      await run.advance(3000);
     }
     // A machine of that name that comes anew is like any other.
     run.fleet.addHost('store', 'store-1', '127.0.30.11');
     run.fleet.start('store-1');
-    await run.pass(2000);
+    await run.advance(2000);
     expect(await emptyStore(run, 'store-2')).toEqual('started');
     await emptied(run, 'store-2');
     await expectClean(run);
@@ -152,10 +152,10 @@
     await run.begin();
     await wholeAfterMs(run, 5, () => true);
     await powerCycle(run, ['core-1', 'core-2']);
-    await run.pass(3000);
+    await run.advance(3000);
     await wholeAfterMs(run, 5, () => true);
     await powerCycle(run, ['store-1', 'store-2']);
-    await run.pass(3000);
+    await run.advance(3000);
     await wholeAfterMs(run, 5, () => true);
     await expectClean(run);
   });
@@ -170,7 +170,7 @@
       run.fleet.host(name).disk.lose();
       run.fleet.start(name);
     }
-    await run.pass(10_000);
+    await run.advance(10_000);
     const bootstrapped = run.fleet
       .named('controller')
       .filter((host) => host.process?.counters.all()['consensus.bootstrapped'] !== undefined);
--- a/testing/simulator/test/lateListener.test.ts
+++ b/testing/simulator/test/lateListener.test.ts
@@ -27,7 +27,7 @@
       counters,
       log: quietLog,
     });
-    await run.pass(1000);
+    await run.advance(1000);
     const heard: string[] = [];
     membership.onUpdate((update) => heard.push(update.key));
     expect(['setup', 'shards', 'duty/dispatch'].filter((key) => !heard.includes(key))).toEqual([]);
--- a/testing/simulator/test/liveFleet.test.ts
+++ b/testing/simulator/test/liveFleet.test.ts
@@ -10,7 +10,7 @@
 import { seededRandom } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
 import { commands, exitCode, ControllerClient } from '@pewterlanding/pewterctl';
-import { Fleet, freeNet, readDeployment, until } from '../src/index.js';
+import { Fleet, freeNet, readDeployment, pollUntil } from '../src/index.js';
 
 const examples = join(dirname(fileURLToPath(import.meta.url)), '../../../../examples');
 
@@ -108,7 +108,7 @@
     });
     response.body.on('error', () => undefined);
     response.body.once('data', () => leave.abort());
-    await until('the replica is let go', async () => fleet.replicas.some((replica) => replica.abandoned > 0), 10_000);
+    await pollUntil('the replica is let go', async () => fleet.replicas.some((replica) => replica.abandoned > 0), 10_000);
     expect(runs.filter((run) => run.key === 'leaves').length).toEqual(1);
   });
 
--- a/testing/simulator/test/model/modelMutations.test.ts
+++ b/testing/simulator/test/model/modelMutations.test.ts
@@ -25,7 +25,7 @@
     it(`fails: ${mutation.name}`, async () => {
       const tree = await ScratchTree.copy(root);
       try {
-        await tree.takeOut({ ...mutation, rule: '', scenario: '', seeds: [] });
+        await tree.apply({ ...mutation, rule: '', scenario: '', seeds: [] });
         expect(run(tree.folder, mutation.tolerance, mutation.seed, mutation.cases)).toEqual(expect.regex(/^red Property failed/));
       } finally {
         await tree.remove();
--- a/testing/simulator/test/mutations.test.ts
+++ b/testing/simulator/test/mutations.test.ts
@@ -27,7 +27,7 @@
       seeds: [],
       edits: [{ file: 'programs/proxy/dist/src/forwarding/forwarder.js', text: 'no such line', instead: '' }],
     };
-    await expect(tree.takeOut(mutation)).toBeRejectedWith('old: programs/proxy/dist/src/forwarding/forwarder.js');
+    await expect(tree.apply(mutation)).toBeRejectedWith('old: programs/proxy/dist/src/forwarding/forwarder.js');
     await tree.remove();
   });
 
@@ -37,7 +37,7 @@
       .map((mutation) => ({ ...mutation, seeds: mutation.seeds.slice(0, 1) }));
     const lines: string[] = [];
     const outcomes = await runMutations(root, chosen, (line) => lines.push(line));
-    if (outcomes.some((one) => !one.held)) throw new Error(lines.join('\n'));
+    if (outcomes.some((one) => !one.detected)) throw new Error(lines.join('\n'));
     expect(outcomes.length).toEqual(Object.keys(checkers).length);
   });
 });
--- a/testing/simulator/test/opaqueBatches.test.ts
+++ b/testing/simulator/test/opaqueBatches.test.ts
@@ -50,10 +50,10 @@
   const times: { after?: (waitMs: number, run: () => void) => void } = {};
   const items = new ScriptedItems(script, (waitMs, run) => times.after?.(waitMs, run));
   const run = new SimRun({ seed: 5, items });
-  times.after = (waitMs, go) => run.later(waitMs, go);
+  times.after = (waitMs, go) => run.schedule(waitMs, go);
   await run.begin(false);
   const one = { host, prefix: '/p/', kind: 'batch', services: [{ service: 'tag', weight: 1 }], attempts: 2, quota: 'north', batch };
-  expect(await run.until(run.operate({ part: { routes: { r: one } } }), 20_000)).toEqual('confirmed');
+  expect(await run.advanceUntilSettled(run.changeConfiguration({ part: { routes: { r: one } } }), 20_000)).toEqual('confirmed');
   const front = (number: number) => {
     const proxy = run.fleet.host(`front-${number}`).process?.proxy;
     if (proxy === undefined) throw new Error('no front');
@@ -110,10 +110,14 @@
       { events: [['6', 'c']], end: { kind: 'done' } },
     ];
     const { run, items, hand, read, front } = await fleetWith(() => scripts.shift() ?? { events: [], end: broken });
-    expect(await run.until(hand(1, 'l'), 2000)).toEqual({ kind: 'made' });
-    expect(await run.until(hand(2, 'l'), 2000)).toEqual({ kind: 'made' });
-    expect(await run.until(hand(3, 'l', [11]), 2000)).toEqual({ kind: 'refused', status: 409, reason: 'this id was used for another lot' });
-    expect(await run.until(read(3, 'l', 1), 20_000)).toEqual(['l0 settled a\nb\nb\nc']);
+    expect(await run.advanceUntilSettled(hand(1, 'l'), 2000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(hand(2, 'l'), 2000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(hand(3, 'l', [11]), 2000)).toEqual({
+      kind: 'refused',
+      status: 409,
+      reason: 'this id was used for another lot',
+    });
+    expect(await run.advanceUntilSettled(read(3, 'l', 1), 20_000)).toEqual(['l0 settled a\nb\nb\nc']);
     expect(items.resumes).toEqual([undefined, '5', '5', '5']);
     const sent = items.attempts[0];
     expect([sent?.path, sent?.headers['host'], sent?.headers['task-id'], sent?.headers['model'], sent?.headers['urgency']]).toEqual([
@@ -123,30 +127,32 @@
       'm',
       '7',
     ]);
-    expect(await run.until(front(2).batches.itemBody(batchId('l'), host, v.parse(ItemId, 'l0'), 900), 2000)).toEqual(undefined);
-    expect(await run.until(front(2).batches.outcomes(batchId('none'), host, 0, 0, 900), 2000)).toEqual(undefined);
+    expect(await run.advanceUntilSettled(front(2).batches.itemBody(batchId('l'), host, v.parse(ItemId, 'l0'), 900), 2000)).toEqual(
+      undefined,
+    );
+    expect(await run.advanceUntilSettled(front(2).batches.outcomes(batchId('none'), host, 0, 0, 900), 2000)).toEqual(undefined);
   });
 
   it('takes of two hand-ins at two fronts only what fits, and refuses the other for good', async () => {
     const { run, items, hand, front } = await fleetWith(() => ({ events: [], end: { kind: 'notRun', status: 503 } }), {
       waitingTokens: 30,
     });
-    const both = await run.until(Promise.all([hand(1, 'l', [10, 10]), hand(2, 'm', [10, 10])]), 2000);
+    const both = await run.advanceUntilSettled(Promise.all([hand(1, 'l', [10, 10]), hand(2, 'm', [10, 10])]), 2000);
     expect(both.map((one) => (one.kind === 'refused' ? one.status : one.kind)).sort()).toEqual([429, 'made']);
     const refused = both[0]?.kind === 'made' ? 'm' : 'l';
-    await run.pass(5000);
+    await run.advance(5000);
     expect(items.attempts.filter(({ task }) => task.startsWith(refused))).toEqual([]);
     expect(items.attempts.length > 0).toEqual(true);
-    expect(await run.until(front(3).batches.outcomes(batchId(refused), host, 0, 0, 900), 2000)).toEqual(undefined);
+    expect(await run.advanceUntilSettled(front(3).batches.outcomes(batchId(refused), host, 0, 0, 900), 2000)).toEqual(undefined);
     const taken = refused === 'l' ? 'm' : 'l';
-    expect(await run.until(front(4).batches.itemBody(batchId(taken), host, v.parse(ItemId, `${taken}1`), 900), 2000)).toEqual(
+    expect(await run.advanceUntilSettled(front(4).batches.itemBody(batchId(taken), host, v.parse(ItemId, `${taken}1`), 900), 2000)).toEqual(
       new Uint8Array([1]),
     );
     // After its end nothing of it reaches a replica.
-    expect(await run.until(front(4).batches.endOpaque(batchId(taken), host, 900), 2000)).toEqual(true);
-    await run.pass(1000);
+    expect(await run.advanceUntilSettled(front(4).batches.endOpaque(batchId(taken), host, 900), 2000)).toEqual(true);
+    await run.advance(1000);
     const before = items.attempts.length;
-    await run.pass(5000);
+    await run.advance(5000);
     expect(items.attempts.length).toEqual(before);
   });
 
@@ -156,11 +162,11 @@
         ? { events: [], end: { kind: 'notRun', status: 503 } }
         : { events: [], end: { kind: 'status', status: task === 'l0' ? 500 : 422 } },
     );
-    expect(await run.until(hand(1, 'l', [1, 1, 1]), 2000)).toEqual({ kind: 'made' });
-    expect(await run.until(read(2, 'l', 2), 20_000)).toEqual(['l2 abandoned ', 'l0 abandoned ']);
+    expect(await run.advanceUntilSettled(hand(1, 'l', [1, 1, 1]), 2000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(read(2, 'l', 2), 20_000)).toEqual(['l2 abandoned ', 'l0 abandoned ']);
     expect(items.attempts.filter(({ task }) => task === 'l0').length).toEqual(2);
-    expect(await run.until(run.operate({ part: { routes: { r: null } } }), 20_000)).toEqual('confirmed');
-    expect(await run.until(read(2, 'l', 3), 20_000)).toEqual(['l2 abandoned ', 'l0 abandoned ', 'l1 abandoned ']);
+    expect(await run.advanceUntilSettled(run.changeConfiguration({ part: { routes: { r: null } } }), 20_000)).toEqual('confirmed');
+    expect(await run.advanceUntilSettled(read(2, 'l', 3), 20_000)).toEqual(['l2 abandoned ', 'l0 abandoned ', 'l1 abandoned ']);
   });
 
   it('does not refuse a hand-in whose outcome is unknown, and takes it once when it comes again', async () => {
@@ -168,10 +174,10 @@
     const owners = ['lots-0', 'lots-1', 'lots-2'];
     const stores = new Set(await Promise.all(owners.map((shard) => run.batchLeader(shard))));
     for (const name of stores) run.fleet.host(name).machine.freeze();
-    expect(await run.until(hand(1, 'l', [10], 700), 2000)).toEqual({ kind: 'unknown' });
+    expect(await run.advanceUntilSettled(hand(1, 'l', [10], 700), 2000)).toEqual({ kind: 'unknown' });
     for (const name of stores) run.fleet.host(name).machine.wake();
-    await run.pass(3000);
-    expect(await run.until(hand(2, 'l'), 5000)).toEqual({ kind: 'made' });
-    expect(await run.until(read(3, 'l', 1), 20_000)).toEqual(['l0 settled x']);
+    await run.advance(3000);
+    expect(await run.advanceUntilSettled(hand(2, 'l'), 5000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(read(3, 'l', 1), 20_000)).toEqual(['l0 settled x']);
   });
 });
--- a/testing/simulator/test/recovery.test.ts
+++ b/testing/simulator/test/recovery.test.ts
@@ -8,10 +8,10 @@
 const failureTimeoutMs = 1000;
 
 async function powerCycle(run: SimRun, wiped: readonly string[] = []): Promise<void> {
-  run.fault('all lose power');
+  run.noteFault('all lose power');
   for (const name of run.fleet.hosts.keys()) run.fleet.kill(name);
   for (const name of wiped) run.fleet.host(name).disk.lose();
-  await run.pass(1000);
+  await run.advance(1000);
   for (const name of run.fleet.hosts.keys()) run.fleet.start(name);
 }
 
@@ -20,7 +20,7 @@
   const beganMs = run.fleet.time.nowMs;
   while (!(await holds())) {
     if (run.fleet.time.nowMs - beganMs > 10_000) throw new Error('it never held');
-    await run.pass(10);
+    await run.advance(10);
   }
   return run.fleet.time.nowMs - beganMs;
 }
@@ -76,7 +76,7 @@
   it('no leader writes again what its file holds', async () => {
     const run = new SimRun({ seed: 85, joining: { copies: 3 } });
     await run.begin();
-    await run.pass(4000);
+    await run.advance(4000);
     const files = [...run.fleet.hosts.values()].flatMap(({ disk }) =>
       disk.files().flatMap((file) => (file.endsWith('.shard') ? [{ disk, file, lengthBytes: disk.lengthBytes(file) }] : [])),
     );
@@ -93,15 +93,15 @@
     const run = new SimRun({ seed: 83, joining: { copies: 3 } });
     await run.begin(false);
     const watch = run.fleet.host('core-1').process?.controller?.watch;
-    const say = (instance: string): unknown =>
+    const print = (instance: string): unknown =>
       watch?.announce(
         v.parse(Replica, { service: 'later', address: '127.0.40.9:9000', slots: 4, incarnation: 7, instance, state: 'serving' }),
       );
-    say('silent');
-    await run.pass(4000);
-    for (const instance of ['well', 'left']) say(instance);
+    print('silent');
+    await run.advance(4000);
+    for (const instance of ['well', 'left']) print(instance);
     watch?.leave('left');
-    await run.pass(1500);
+    await run.advance(1500);
     const states = (): string[] => ['well', 'left', 'silent'].map((instance) => instanceAtFront(run, instance));
     expect(states()).toEqual(['serving', 'leaving', 'silent']);
     await powerCycle(run, ['core-1']);
@@ -118,10 +118,10 @@
     for (const name of run.machines('controller').filter((one) => one !== owner)) {
       const term = run.fleet.host(owner).process?.controller?.member?.term;
       run.fleet.kill(name);
-      await run.pass(300);
+      await run.advance(300);
       run.fleet.start(name);
       // Less than it takes to be steady enough for a handover.
-      await run.pass(failureTimeoutMs * 1.5);
+      await run.advance(failureTimeoutMs * 1.5);
       expect(run.configurationLeader()).toEqual(owner);
       expect(run.fleet.host(owner).process?.controller?.member?.term).toEqual(term);
     }
--- a/testing/simulator/test/repeatedHand.test.ts
+++ b/testing/simulator/test/repeatedHand.test.ts
@@ -12,18 +12,18 @@
     const hand = async (key: string, count = 3): Promise<string> => {
       const proxy = run.fleet.host('front-1').process?.proxy;
       if (proxy === undefined) throw new Error('no front');
-      const handed = await run.until(
+      const handed = await run.advanceUntilSettled(
         proxy.batches.hand('north', key, { service: v.parse(ServiceName, 'tag'), items: items.slice(0, count) }),
         5000,
       );
       return handed.kind === 'made' ? 'made' : `${handed.status}`;
     };
     expect(await hand('first')).toEqual('made');
-    expect(await run.until(run.operate({ part: { bounds: { maxItems: 2 } } }), 20_000)).toEqual('confirmed');
+    expect(await run.advanceUntilSettled(run.changeConfiguration({ part: { bounds: { maxItems: 2 } } }), 20_000)).toEqual('confirmed');
     expect([await hand('first'), await hand('second'), await hand('first', 2)]).toEqual(['made', '413', '409']);
     // Its branch and its service may be gone by then: what was taken stays taken.
     const pruned = { part: { services: { tag: null }, quotas: { north: null } } };
-    expect(await run.until(run.operate(pruned), 20_000)).toEqual('confirmed');
+    expect(await run.advanceUntilSettled(run.changeConfiguration(pruned), 20_000)).toEqual('confirmed');
     expect([await hand('first'), await hand('third')]).toEqual(['made', '403']);
   });
 });
--- a/testing/simulator/test/replicaRegistry.test.ts
+++ b/testing/simulator/test/replicaRegistry.test.ts
@@ -29,7 +29,7 @@
     return v.parse(Replica, { service: 'later', address: '127.0.40.9:9000', slots: 4, incarnation, instance: this.instance, state });
   }
 
-  say(controller: string, state: Replica['state'] = 'serving'): string {
+  print(controller: string, state: Replica['state'] = 'serving'): string {
     this.counter += 1;
     return this.watch(controller).announce(this.word(state, this.counter));
   }
@@ -37,8 +37,8 @@
   /** Speaks to a controller each beat for a while. */
   async speak(controller: string, heartbeats: number): Promise<void> {
     for (let heartbeat = 0; heartbeat < heartbeats; heartbeat += 1) {
-      this.say(controller);
-      await this.run.pass(heartbeatMs);
+      this.print(controller);
+      await this.run.advance(heartbeatMs);
     }
   }
 
@@ -63,8 +63,8 @@
 describe("replicas' words at the controller", () => {
   it('go to all when they say something new, and no further when they do not', async () => {
     const speaker = await begun(3);
-    expect(speaker.say('core-2')).toEqual('taken');
-    await speaker.run.pass(50);
+    expect(speaker.print('core-2')).toEqual('taken');
+    await speaker.run.advance(50);
     expect([speaker.at('front-1'), speaker.at('front-4')]).toEqual(['serving', 'serving']);
     const version = (): unknown =>
       speaker.run.fleet.host('front-1').process?.proxy?.routingState.stateTable.get(updateKeys.replica('later', 'life-1'))?.version;
@@ -77,9 +77,9 @@
   it('are at every front after two gatherings at the most when it leaves in the very moment of a heartbeat', async () => {
     const speaker = await begun(4);
     await speaker.speak('core-1', 3);
-    expect(speaker.say('core-3', 'leaving')).toEqual('taken');
+    expect(speaker.print('core-3', 'leaving')).toEqual('taken');
     // Entries that follow others on a link wait for a gathering, 16 ms here, on each of the two links of the tree.
-    await speaker.run.pass(20 + 2 * 16);
+    await speaker.run.advance(20 + 2 * 16);
     expect(speaker.at('front-2')).toEqual('leaving');
   });
 
@@ -87,34 +87,34 @@
     const speaker = await begun(4);
     await speaker.speak('core-1', 3);
     // Between the fleet's heartbeats, so that it waits for no other news that has just gone the same way.
-    await speaker.run.pass(heartbeatMs / 10);
-    expect(speaker.say('core-3', 'leaving')).toEqual('taken');
-    await speaker.run.pass(20);
+    await speaker.run.advance(heartbeatMs / 10);
+    expect(speaker.print('core-3', 'leaving')).toEqual('taken');
+    await speaker.run.advance(20);
     expect(speaker.at('front-2')).toEqual('leaving');
-    await speaker.run.pass(500);
+    await speaker.run.advance(500);
     expect(speaker.watch('core-1').announce(speaker.word('serving', 2))).toEqual('stale');
     expect(speaker.watch('core-2').leave('life-1')).toEqual('taken');
-    await speaker.run.pass(50);
-    expect(speaker.say('core-3')).toEqual('stale');
-    await speaker.run.pass(500);
+    await speaker.run.advance(50);
+    expect(speaker.print('core-3')).toEqual('stale');
+    await speaker.run.advance(500);
     expect(speaker.at('front-2')).toEqual('leaving');
     // Words of a life that takes its leave are late words also where they say more than was known.
-    expect([speaker.watch('core-1').leave('nobody'), speaker.say('core-1')]).toEqual(['unknown', 'stale']);
+    expect([speaker.watch('core-1').leave('nobody'), speaker.print('core-1')]).toEqual(['unknown', 'stale']);
   });
 
   it('that stop are told as silence once, and serving follows the next word', async () => {
     const speaker = await begun(5);
     await speaker.speak('core-1', 4);
-    await speaker.run.pass(heartbeatMs * 2);
+    await speaker.run.advance(heartbeatMs * 2);
     expect(speaker.at('front-1')).toEqual('serving');
-    await speaker.run.pass(heartbeatMs * 4);
+    await speaker.run.advance(heartbeatMs * 4);
     expect(speaker.at('front-1')).toEqual('silent');
-    await speaker.run.pass(heartbeatMs * 20);
+    await speaker.run.advance(heartbeatMs * 20);
     const told = controllers.reduce((sum, controller) => sum + speaker.count(controller, 'replica.wentSilent'), 0);
     // Controllers that find out in the same moment say the same.
     expect(told >= 1 && told <= 3).toEqual(true);
-    speaker.say('core-2');
-    await speaker.run.pass(50);
+    speaker.print('core-2');
+    await speaker.run.advance(50);
     expect(speaker.at('front-1')).toEqual('serving');
   });
 
@@ -122,7 +122,7 @@
     const speaker = await begun(6);
     await speaker.speak('core-1', 3);
     speaker.run.fleet.kill('core-1');
-    await speaker.run.pass(heartbeatMs * 6);
+    await speaker.run.advance(heartbeatMs * 6);
     expect(speaker.at('front-3')).toEqual('silent');
   });
 
@@ -151,16 +151,16 @@
       let at = 'core-3';
       for (let heartbeat = 0; heartbeat < 12; heartbeat += 1) {
         // As a replica does that got no acknowledgement.
-        if (speaker.say(at) === 'cut off') at = 'core-1';
-        if (at === 'core-1') expect(speaker.say(at)).toEqual('taken');
-        await speaker.run.pass(heartbeatMs);
+        if (speaker.print(at) === 'cut off') at = 'core-1';
+        if (at === 'core-1') expect(speaker.print(at)).toEqual('taken');
+        await speaker.run.advance(heartbeatMs);
         expect(speaker.at('front-1')).toEqual('serving');
       }
       expect(controllers.map((controller) => speaker.count(controller, 'replica.wentSilent'))).toEqual([0, 0, 0]);
       expect(speaker.watch('core-3').leave('nobody')).toEqual('cut off');
       speaker.run.fleet.net.heal();
       await speaker.speak(at, 3);
-      expect(speaker.say('core-3')).toEqual('taken');
+      expect(speaker.print('core-3')).toEqual('taken');
     });
   }
 
@@ -199,19 +199,20 @@
       return found;
     };
     const words = { Label: 'plain', Unread: [null, 'x'] };
-    const set = (controller: string, revision: number) => run.until(operatorApi(controller).set(change(revision, words), 1000), 1200);
+    const set = (controller: string, revision: number) =>
+      run.advanceUntilSettled(operatorApi(controller).set(change(revision, words), 1000), 1200);
     expect((await set('core-2', 1)).outcome).toEqual('taken');
     // News that follow others wait for each other a sixteenth of a beat (16 ms) on each of at most three links.
-    await run.pass(20 + 3 * 16);
+    await run.advance(20 + 3 * 16);
     expect(fleet.host('front-3').process?.proxy?.routingState.tables.configuration?.revision).toEqual(1);
     expect((await set('core-3', 2)).outcome).toEqual('taken');
     expect(await set('core-1', 1)).toEqual({ outcome: 'taken', revision: 2, findings: [] });
     const owner = run.configurationLeader();
     fleet.kill(owner);
-    await run.pass(3000);
+    await run.advance(3000);
     const other = controllers.find((controller) => controller !== owner) ?? '';
     expect((await set(other, 1)).outcome).toEqual('taken');
-    const { configuration } = await run.until(operatorApi(other).configuration(), 2000);
+    const { configuration } = await run.advanceUntilSettled(operatorApi(other).configuration(), 2000);
     expect([configuration?.revision, Object.values(configuration?.routes ?? {}).map((one) => one.sourceDocument)]).toEqual([2, [words]]);
     // What operators planned before stays as it was.
     expect([configuration?.quotas, configuration?.controllers, configuration?.ceiling]).toEqual([
--- a/testing/simulator/test/support/storedData.ts
+++ b/testing/simulator/test/support/storedData.ts
@@ -259,12 +259,12 @@
   /** The replicas that a controller recalls from its disk; each of `heard` says a word after it, under no life, and is kept. */
   async replicas(heard: readonly string[] = []): Promise<unknown[]> {
     const address = v.parse(Address, '127.0.20.1:7000');
-    const ground = { transport: transportOf(address), clock: backgroundClock, counters: new Counters() };
+    const context = { transport: transportOf(address), clock: backgroundClock, counters: new Counters() };
     const nodeRecord = { name: v.parse(NodeName, 'core-1'), role: 'controller', zone: v.parse(ZoneName, 'a'), address } as const;
     const bounds = { heartbeatMs: 250, failureTimeoutMs, watchers: 3 };
-    const membership = new Membership({ ...ground, log: quietLog, nodeRecord, seeds: [address], bounds });
+    const membership = new Membership({ ...context, log: quietLog, nodeRecord, seeds: [address], bounds });
     const watch = new ReplicaRegistry({
-      ...ground,
+      ...context,
       membership,
       disk: this.#disks.controller,
       heartbeatMs: 20,
--- a/tools/checkFiles.mjs
+++ b/tools/checkFiles.mjs
@@ -61,7 +61,7 @@
 function briefFindings(text) {
   const names = (pattern, of) => new Set(files.filter((file) => pattern.test(file)).flatMap((file) => [...readFileSync(file, 'utf8').matchAll(of)].map((m) => m[1])));
   const known = {
-    sim: names(/simulator\/src\/(scenarios|faults)\/\w+(Scenarios|Faults)\.ts$/, /^  (\w+): (?:\w+\(|\{$|\{ (?:act|\.\.\.))/gm),
+    sim: names(/simulator\/src\/(scenarios|faults)\/\w+(Scenarios|Faults)\.ts$/, /^  (\w+): (?:\w+\(|\{$|\{ (?:inject|run|\.\.\.))/gm),
     real: names(/simulator\/src\/fleet\/\w+Faults\.ts$/, /^  (\w+): (?:async )?\(/gm),
     guard: names(/mutation\/mutations\.ts$/, /name: '(\w+)'/g),
     test: new Set(files.flatMap((file) => /\/test\/(\w+)\.test\.ts$/.exec(file)?.[1] ?? [])),
