--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -14,6 +14,7 @@
 export * from './schema/findingsError.js';
 export * from './hashing/hashOf.js';
 export * from './schema/isFields.js';
+export * from './schema/pewterError.js';
 export * from './names/itemId.js';
 export * from './configuration/limits.js';
 export * from './documents/mergePatch.js';
--- a/testing/simulator/src/digest/digest.ts
+++ b/testing/simulator/src/digest/digest.ts
@@ -2,6 +2,7 @@
 import { readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 import * as v from 'valibot';
+import { HarnessError } from '../errors/index.js';
 import { digestCases } from './digestCases.js';
 import { DigestResult } from './digestResult.js';
 import { digestDifferences } from './digestDifferences.js';
@@ -45,7 +46,7 @@
       next();
     });
     child.once('error', reject);
-    child.once('exit', (code) => (finished ? resolve() : reject(new Error(`a worker ended with ${code}`))));
+    child.once('exit', (code) => (finished ? resolve() : reject(new HarnessError(`a worker ended with ${code}`))));
     next();
   });
 }
--- /dev/null
+++ b/testing/simulator/src/errors/index.ts
@@ -0,0 +1,3 @@
+export * from './harnessError.js';
+export * from './scenarioError.js';
+export * from './simulationError.js';
--- a/testing/simulator/src/fleet/fleet.ts
+++ b/testing/simulator/src/fleet/fleet.ts
@@ -7,6 +7,7 @@
 import { StandInReplica } from '@pewterlanding/stand-ins';
 import type { RunRecord } from '@pewterlanding/stand-ins';
 import { views } from '@pewterlanding/pewterctl';
+import { HarnessError } from '../errors/index.js';
 import { Daemon } from './daemon.js';
 import type { Deployment } from './deployment.js';
 import { Links } from './links.js';
@@ -71,14 +72,14 @@
 
   daemon(key: string): Daemon {
     const daemon = this.daemons.get(key);
-    if (daemon === undefined) throw new Error(`no process ${key}`);
+    if (daemon === undefined) throw new HarnessError(`no process ${key}`);
     return daemon;
   }
 
   /** The IP number of a machine. */
   hostOf(machine: string): string {
     const bootSettings = this.#boots.get(machine) ?? this.#boots.get(`${machine}.agent`);
-    if (bootSettings === undefined) throw new Error(`no machine ${machine}`);
+    if (bootSettings === undefined) throw new HarnessError(`no machine ${machine}`);
     return addressParts(bootSettings.listen).host;
   }
 
@@ -109,7 +110,7 @@
   /** Waits until the process at this boot serves: one that is told to end while it is still being loaded dies of the signal. */
   async serves(key: string, timeoutMs: number): Promise<void> {
     const http = this.#boots.get(key)?.http;
-    if (http === undefined) throw new Error(`no HTTP at ${key}`);
+    if (http === undefined) throw new HarnessError(`no HTTP at ${key}`);
     const up = (): Promise<boolean> =>
       ask('GET', http, '/status').then(
         (response) => response.status === 200,
@@ -123,7 +124,7 @@
     const numbers = [...this.#boots.keys()].filter((key) => key.startsWith(`${kind}-`)).map((key) => Number(key.slice(kind.length + 1)));
     const number = Math.max(...numbers) + 1;
     const like = this.#boots.get(`${kind}-1`) ?? [...this.#boots.values()].find((bootSettings) => bootSettings.name.startsWith(`${kind}-`));
-    if (like === undefined) throw new Error(`no ${kind} to do as`);
+    if (like === undefined) throw new HarnessError(`no ${kind} to do as`);
     const name = `${kind}-${number}`;
     const moved = (address: Address | undefined) =>
       address === undefined ? undefined : v.parse(Address, address.replace(/\.\d+:/, `.${number}:`));
@@ -164,7 +165,7 @@
   async confirm(proposal: unknown, acknowledged = false): Promise<number | undefined> {
     const plan = await this.controller('POST', '/v1/plans', proposal);
     const id = check(v.object({ id: v.string() }), plan.body);
-    if (!id.ok) throw new Error(`no plan: ${JSON.stringify(plan)}`);
+    if (!id.ok) throw new HarnessError(`no plan: ${JSON.stringify(plan)}`);
     const response = await this.controller('POST', `/v1/plans/${id.value.id}/confirm`, { acknowledged });
     const read = check(v.object({ version: v.number() }), response.body);
     return response.status === 200 && read.ok ? read.value.version : undefined;
@@ -182,7 +183,7 @@
         last = error;
       }
     }
-    throw new Error(`no controller machine returns: ${JSON.stringify(last)}`);
+    throw new HarnessError(`no controller machine returns: ${JSON.stringify(last)}`);
   }
 
   async known(front: Address): Promise<number> {
@@ -223,7 +224,7 @@
 
   #add(program: Program, key: string): void {
     const bootSettings = this.#boots.get(key);
-    if (bootSettings === undefined) throw new Error(`no boot ${key}`);
+    if (bootSettings === undefined) throw new HarnessError(`no boot ${key}`);
     const { seeds, dataFolder, ...plain } = bootSettings;
     const folder = dataFolder === undefined ? {} : { dataFolder: this.dataFolder(bootSettings.name) };
     const flags = Object.entries({ ...plain, seeds: seeds.join(','), ...folder });
--- a/testing/simulator/src/fleet/fleetDay.ts
+++ b/testing/simulator/src/fleet/fleetDay.ts
@@ -1,5 +1,6 @@
 import { seededRandom } from '@pewterlanding/runtime';
 import * as v from 'valibot';
+import { HarnessError } from '../errors/index.js';
 import { briefBounds, judge, unreadableSpans, verdictLine } from '../checkers/index.js';
 import type { HistoryEvent } from '../history/index.js';
 import { fleetFaults } from './fleetFaults.js';
@@ -66,7 +67,7 @@
   try {
     const startMs = Date.now();
     await fleet.start();
-    if ((await operator.first(read.configuration)) === undefined) throw new Error('the setup was not confirmed');
+    if ((await operator.first(read.configuration)) === undefined) throw new HarnessError('the setup was not confirmed');
     await fleet.open();
     print(`${fleet.daemons.size} processes, ${fleet.replicas.length} stand-ins up after ${((Date.now() - startMs) / 1000).toFixed(1)} s`);
     drive.start();
@@ -76,7 +77,7 @@
     spans.push({ name: 'quiet', fromMs: quietMs, toMs: Date.now() });
     for (const name of options.faults) {
       const act = fleetFaults[name];
-      if (act === undefined) throw new Error(`no fault ${name}`);
+      if (act === undefined) throw new HarnessError(`no fault ${name}`);
       const fromMs = Date.now();
       note({ type: 'faulted', atMs: fromMs, what: name });
       let took = false;
--- a/testing/simulator/src/fleet/freeNet.ts
+++ b/testing/simulator/src/fleet/freeNet.ts
@@ -1,4 +1,5 @@
 import { createServer } from 'node:net';
+import { HarnessError } from '../errors/index.js';
 
 /** Finds an N so that nothing listens in 127.N on the ports a deployment uses. */
 export async function freeNet(from: number): Promise<number> {
@@ -10,5 +11,5 @@
     });
     if (free) return net;
   }
-  throw new Error('no free loopback network');
+  throw new HarnessError('no free loopback network');
 }
--- a/testing/simulator/src/fleet/linkFaults.ts
+++ b/testing/simulator/src/fleet/linkFaults.ts
@@ -1,3 +1,4 @@
+import { HarnessError } from '../errors/index.js';
 import type { FleetFault } from './fleetFault.js';
 import { targets } from './targets.js';
 import type { FaultContext } from './faultContext.js';
@@ -15,7 +16,7 @@
   forMs = cutMs,
 ): Promise<void> {
   const links = fleet.links;
-  if (links === undefined) throw new Error('this fleet runs without relays');
+  if (links === undefined) throw new HarnessError('this fleet runs without relays');
   const hosts = pairs.map(([from, to]) => [fleet.hostOf(from), fleet.hostOf(to)] as const);
   const before = hosts.map(([from, to]) => links.touched(from, to));
   for (const [from, to] of hosts) links.set(from, to, link);
--- a/testing/simulator/src/fleet/loadGenerator.ts
+++ b/testing/simulator/src/fleet/loadGenerator.ts
@@ -3,6 +3,7 @@
 import { Caller } from '@pewterlanding/stand-ins';
 import type { ToldRecord } from '@pewterlanding/stand-ins';
 import type { Address } from '@pewterlanding/model';
+import { HarnessError } from '../errors/index.js';
 import type { Deployment } from './deployment.js';
 import type { Fleet } from './fleet.js';
 import type { HistoryEvent } from '../history/index.js';
@@ -219,7 +220,7 @@
 
   #pick<T>(all: readonly T[]): T {
     const one = all[Math.floor(this.#options.random() * all.length)];
-    if (one === undefined) throw new Error('nothing to pick from');
+    if (one === undefined) throw new HarnessError('nothing to pick from');
     return one;
   }
 }
--- a/testing/simulator/src/fleet/operator.ts
+++ b/testing/simulator/src/fleet/operator.ts
@@ -1,6 +1,7 @@
 import * as v from 'valibot';
 import { check, mergePatch } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
+import { HarnessError } from '../errors/index.js';
 import type { HistoryEvent } from '../history/index.js';
 import type { Fleet } from './fleet.js';
 
@@ -20,7 +21,7 @@
 
   async configuration(): Promise<Record<string, unknown>> {
     const read = check(views.setup, (await this.#fleet.controller('GET', '/v1/setup')).body);
-    if (!read.ok) throw new Error('the setup cannot be read');
+    if (!read.ok) throw new HarnessError('the setup cannot be read');
     return read.value.setup ?? {};
   }
 
@@ -29,7 +30,7 @@
     const before = await this.configuration();
     const made = await this.#fleet.controller('POST', '/v1/plans', { part });
     const plan = check(views.plan, made.body);
-    if (!plan.ok) throw new Error(`no plan: ${JSON.stringify(made)}`);
+    if (!plan.ok) throw new HarnessError(`no plan: ${JSON.stringify(made)}`);
     return this.#confirm(plan.value, mergePatch(before, part));
   }
 
@@ -37,7 +38,7 @@
   async first(whole: Readonly<Record<string, unknown>>): Promise<number | undefined> {
     const made = await this.#fleet.controller('POST', '/v1/plans', { whole });
     const plan = check(views.plan, made.body);
-    if (!plan.ok) throw new Error(`no plan: ${JSON.stringify(made)}`);
+    if (!plan.ok) throw new HarnessError(`no plan: ${JSON.stringify(made)}`);
     return this.#confirm(plan.value, whole);
   }
 
--- a/testing/simulator/src/fleet/operatorFaults.ts
+++ b/testing/simulator/src/fleet/operatorFaults.ts
@@ -1,3 +1,4 @@
+import { HarnessError } from '../errors/index.js';
 import type { FleetFault } from './fleetFault.js';
 import { targets } from './targets.js';
 import type { FaultContext } from './faultContext.js';
@@ -10,7 +11,7 @@
     if (version !== undefined) return version;
     await sleep(1000);
   }
-  throw new Error(`not confirmed: ${JSON.stringify(part).slice(0, 200)}`);
+  throw new HarnessError(`not confirmed: ${JSON.stringify(part).slice(0, 200)}`);
 }
 
 /** Starts an empty machine of a kind under a new name and address, and lets the setup know it. */
@@ -130,6 +131,6 @@
 
 function rowOf(rows: unknown, name: string): unknown {
   const found = typeof rows === 'object' && rows !== null ? Object.entries(rows).find(([key]) => key === name) : undefined;
-  if (found === undefined) throw new Error(`no row ${name}`);
+  if (found === undefined) throw new HarnessError(`no row ${name}`);
   return found[1];
 }
--- a/testing/simulator/src/fleet/targets.ts
+++ b/testing/simulator/src/fleet/targets.ts
@@ -1,5 +1,6 @@
 import { check } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
+import { HarnessError } from '../errors/index.js';
 import type { Daemon } from './daemon.js';
 import type { Fleet } from './fleet.js';
 
@@ -8,7 +9,7 @@
   /** The daemons of one machine: a front's proxy and agent go together. */
   daemons: (fleet: Fleet, name: string): readonly Daemon[] => {
     const found = [...fleet.daemons.values()].filter((daemon) => daemon.name === name || daemon.name.startsWith(`${name}.`));
-    if (found.length === 0) throw new Error(`no machine ${name}`);
+    if (found.length === 0) throw new HarnessError(`no machine ${name}`);
     return found;
   },
 
@@ -18,7 +19,7 @@
 
   pickRandom: <T>(all: readonly T[], random: () => number): T => {
     const one = all[Math.floor(random() * all.length)];
-    if (one === undefined) throw new Error('nothing to pick from');
+    if (one === undefined) throw new HarnessError('nothing to pick from');
     return one;
   },
 
@@ -26,7 +27,7 @@
   dispatcher: async (fleet: Fleet): Promise<string> => {
     const read = check(views.duties, (await fleet.controller('GET', '/v1/duties')).body);
     const dispatcher = read.ok ? read.value.duties['dispatch']?.holder : undefined;
-    if (dispatcher === undefined) throw new Error('nobody holds the dispatcher duty');
+    if (dispatcher === undefined) throw new HarnessError('nobody holds the dispatcher duty');
     return dispatcher;
   },
 
@@ -34,7 +35,7 @@
   shardLeader: async (fleet: Fleet, shard: string): Promise<string> => {
     const read = check(views.shards, (await fleet.controller('GET', '/v1/shards')).body);
     const shardLeader = read.ok ? read.value.shards.find((one) => one.shard === shard)?.view?.leader : undefined;
-    if (shardLeader === undefined) throw new Error(`nobody is known to own ${shard}`);
+    if (shardLeader === undefined) throw new HarnessError(`nobody is known to own ${shard}`);
     return shardLeader;
   },
 
--- a/testing/simulator/src/hollow/hollowFleet.ts
+++ b/testing/simulator/src/hollow/hollowFleet.ts
@@ -6,6 +6,7 @@
 import { fileURLToPath } from 'node:url';
 import * as v from 'valibot';
 import type { NodeName } from '@pewterlanding/model';
+import { HarnessError } from '../errors/index.js';
 import type { HollowOptions } from './hollowOptions.js';
 import type { HollowRequest } from './hollowRequest.js';
 import type { HollowPlace } from './hollowPlace.js';
@@ -113,7 +114,7 @@
 
   #name(text: string): NodeName {
     const place = this.places.find((one) => one.name === text);
-    if (place === undefined) throw new Error(`no node ${text}`);
+    if (place === undefined) throw new HarnessError(`no node ${text}`);
     return place.name;
   }
 
@@ -146,7 +147,7 @@
       this.#waiting.set(id, resolve);
       this.#children[worker]?.send({ id, order });
     });
-    if (word.failed !== undefined) throw new Error(`${order.kind}: ${word.failed}`);
+    if (word.failed !== undefined) throw new HarnessError(`${order.kind}: ${word.failed}`);
     return word;
   }
 }
--- a/testing/simulator/src/hollow/hollowWorker.ts
+++ b/testing/simulator/src/hollow/hollowWorker.ts
@@ -4,6 +4,7 @@
 import { errorLine } from '@pewterlanding/runtime';
 import type { Address, NodeName } from '@pewterlanding/model';
 import { monitorEventLoopDelay } from 'node:perf_hooks';
+import { HarnessError } from '../errors/index.js';
 import { HollowNode } from './hollowNode.js';
 import type { HollowOptions } from './hollowOptions.js';
 import { HollowRequest } from './hollowRequest.js';
@@ -31,7 +32,7 @@
 
 function start(name: NodeName): HollowNode {
   const place = places.find((one) => one.name === name);
-  if (place === undefined || here === undefined) throw new Error(`no node ${name}`);
+  if (place === undefined || here === undefined) throw new HarnessError(`no node ${name}`);
   const node = new HollowNode({
     place,
     options: here,
@@ -113,14 +114,14 @@
 
 async function confirm(outputTokens: number): Promise<HollowResponse> {
   const operatorApi = [...nodes.values()].find((node) => node.operatorApi !== undefined)?.operatorApi;
-  if (operatorApi === undefined) throw new Error('no controller here');
+  if (operatorApi === undefined) throw new HarnessError('no controller here');
   plans += 1;
   const id = v.parse(PlanId, `plan-${plans}`);
   const atMs = monotonicMs();
   const made = await operatorApi.plan(id, v.parse(Proposal, { whole: hollowConfiguration(places, outputTokens) }));
-  if (made.plan === undefined) throw new Error(made.findings.map((one) => `${one.place} ${one.message}`).join('; '));
+  if (made.plan === undefined) throw new HarnessError(made.findings.map((one) => `${one.place} ${one.message}`).join('; '));
   const { outcome, inForce } = await operatorApi.confirm(id, true);
-  if (outcome.outcome !== 'confirmed' || !inForce) throw new Error(`${outcome.outcome}, in force: ${String(inForce)}`);
+  if (outcome.outcome !== 'confirmed' || !inForce) throw new HarnessError(`${outcome.outcome}, in force: ${String(inForce)}`);
   return { atMs, counts: { version: outcome.version, tookMs: monotonicMs() - atMs } };
 }
 
--- a/testing/simulator/src/index.ts
+++ b/testing/simulator/src/index.ts
@@ -3,6 +3,7 @@
 export * from './digest/index.js';
 export * from './disk/index.js';
 export * from './engine/index.js';
+export * from './errors/index.js';
 export * from './faults/index.js';
 export * from './fleet/index.js';
 export * from './history/index.js';
--- a/testing/simulator/src/model/exploredGroup.ts
+++ b/testing/simulator/src/model/exploredGroup.ts
@@ -3,6 +3,7 @@
 import type { GroupMember } from '@pewterlanding/consensus';
 import type { ConfigurationChange } from '@pewterlanding/controller';
 import { Address, NodeName } from '@pewterlanding/model';
+import { SimulationError } from '../errors/index.js';
 import { SimDisk } from '../disk/index.js';
 import { SimTime } from '../engine/index.js';
 import { changeOf } from './changeOf.js';
@@ -137,7 +138,7 @@
 
   #at(number: number): Machine {
     const machine = this.#machines[number - 1];
-    if (machine === undefined) throw new Error(`no machine ${number}`);
+    if (machine === undefined) throw new SimulationError(`no machine ${number}`);
     return machine;
   }
 
@@ -145,7 +146,7 @@
     if (action.kind !== 'deliver') return { at: this.#at(action.machine), what: action.kind };
     const next = this.#net.next(action.channel);
     const at = this.#machines.find(({ address }) => address === next?.at);
-    if (next === undefined || at === undefined) throw new Error(`nothing to deliver on ${action.channel}`);
+    if (next === undefined || at === undefined) throw new SimulationError(`nothing to deliver on ${action.channel}`);
     return { at, what: `${action.channel} ${next.print}` };
   }
 
@@ -227,7 +228,7 @@
   async #drained(): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
     for (const { process } of this.#machines) this.invariants.look(process);
-    if (this.invariants.violations.length > 0) throw new Error(this.invariants.violations.join('\n'));
+    if (this.invariants.violations.length > 0) throw new SimulationError(this.invariants.violations.join('\n'));
   }
 
   #serves(): boolean {
--- a/testing/simulator/src/model/modelCluster.ts
+++ b/testing/simulator/src/model/modelCluster.ts
@@ -3,6 +3,7 @@
 import { quietLog, seededRandom } from '@pewterlanding/runtime';
 import type { Log } from '@pewterlanding/runtime';
 import type { Placement } from '@pewterlanding/controller';
+import { SimulationError } from '../errors/index.js';
 import { SimDisk } from '../disk/index.js';
 import { SimMachine, SimTime } from '../engine/index.js';
 import { Invariants } from './invariants.js';
@@ -199,7 +200,7 @@
       machine.memberId = node.member.self.memberId;
       machine.group = node.member.group();
     }
-    if (this.invariants.violations.length > 0) throw new Error(this.invariants.violations.join('\n'));
+    if (this.invariants.violations.length > 0) throw new SimulationError(this.invariants.violations.join('\n'));
   }
 
   /** A replaced machine is switched off a while after it left the group. */
--- a/testing/simulator/src/mutation/runMutations.ts
+++ b/testing/simulator/src/mutation/runMutations.ts
@@ -3,6 +3,7 @@
 import { join } from 'node:path';
 import * as v from 'valibot';
 import { errorLine } from '@pewterlanding/runtime';
+import { HarnessError } from '../errors/index.js';
 import type { Mutation } from './mutation.js';
 import { ScratchTree } from './scratchTree.js';
 
@@ -31,7 +32,7 @@
     child.stderr.on('data', (chunk: Buffer) => (wrong += chunk.toString()));
     const code = await new Promise<number>((resolve) => child.once('close', (ended) => resolve(ended ?? -1)));
     const read = v.safeParse(v.pipe(v.string(), v.parseJson(), Verdicts), text);
-    if (!read.success) throw new Error(`${scenario} under seed ${seed} ended with ${code}: ${wrong.slice(0, 500)}`);
+    if (!read.success) throw new HarnessError(`${scenario} under seed ${seed} ended with ${code}: ${wrong.slice(0, 500)}`);
     all.push(...read.output);
   }
   return all;
@@ -49,7 +50,7 @@
     child.stdout.on('data', (chunk: Buffer) => (text += chunk.toString()));
     const code = await new Promise<number>((resolve) => child.once('close', (ended) => resolve(ended ?? -1)));
     const broken = text.includes('Property failed after') || text.includes("name: 'AssertionError'");
-    if (code !== 0 && !broken) throw new Error(`${file} under seed ${seed} ended with ${code}: ${text.slice(0, 500)}`);
+    if (code !== 0 && !broken) throw new HarnessError(`${file} under seed ${seed} ended with ${code}: ${text.slice(0, 500)}`);
     all.push({ seed, rule, judged: 1, broken: broken ? 1 : 0 });
   }
   return all;
--- a/testing/simulator/src/runs/simDay.ts
+++ b/testing/simulator/src/runs/simDay.ts
@@ -1,4 +1,5 @@
 import { seededRandom } from '@pewterlanding/runtime';
+import { SimulationError } from '../errors/index.js';
 import { faults } from '../faults/index.js';
 import { simDeployments, SimRun } from '../simulation/index.js';
 
@@ -34,19 +35,19 @@
   const random = seededRandom(options.seed ^ 0x5eed);
   const { deployment = 'listed', trace } = options;
   const size = simDeployments[deployment];
-  if (size === undefined) throw new Error(`no deployment ${deployment}`);
+  if (size === undefined) throw new SimulationError(`no deployment ${deployment}`);
   const drawn = options.faults ?? draw(random, size.joining !== undefined);
   const run = new SimRun({ ...size, seed: options.seed, ...(trace === undefined ? {} : { trace }) });
   await run.begin();
   run.operators.sendPeriodically(orderMs, lostAckRatio);
   for (const name of drawn) {
     const fault = faults[name];
-    if (fault === undefined) throw new Error(`no fault ${name}`);
+    if (fault === undefined) throw new SimulationError(`no fault ${name}`);
     let turns = 0;
     while (!fault.inject(run.disruption)) {
       await run.advance(turnMs);
       turns += 1;
-      if (turns > maxTurns) throw new Error(`${name} never had its turn`);
+      if (turns > maxTurns) throw new SimulationError(`${name} never had its turn`);
     }
     run.noteFault(name);
     trace?.(`${(run.fleet.time.nowMs / 1000).toFixed(3)} FAULT ${name}`);
--- a/testing/simulator/src/scenarios/batchScenarios.ts
+++ b/testing/simulator/src/scenarios/batchScenarios.ts
@@ -1,3 +1,4 @@
+import { ScenarioError } from '../errors/index.js';
 import { nextAccepted } from './nextAccepted.js';
 import type { Scenario } from './scenario.js';
 
@@ -56,7 +57,7 @@
     run: async (run) => {
       const leader = await run.batchLeader(await nextAccepted(run));
       const [deaf, empty] = run.machines('store').filter((name) => name !== leader);
-      if (deaf === undefined || empty === undefined) throw new Error('three stores are needed');
+      if (deaf === undefined || empty === undefined) throw new ScenarioError('three stores are needed');
       run.noteFault(`${deaf} is cut off`);
       run.disruption.isolateExceptFrom(deaf);
       await run.advance(4000);
@@ -77,7 +78,7 @@
     run: async (run) => {
       const leader = await run.batchLeader(await nextAccepted(run));
       const [deaf, damaged] = run.machines('store').filter((name) => name !== leader);
-      if (deaf === undefined || damaged === undefined) throw new Error('three stores are needed');
+      if (deaf === undefined || damaged === undefined) throw new ScenarioError('three stores are needed');
       run.noteFault(`${deaf} is cut off`);
       run.disruption.isolateExceptFrom(deaf);
       await run.advance(4000);
--- a/testing/simulator/src/scenarios/partialPartitionScenarios.ts
+++ b/testing/simulator/src/scenarios/partialPartitionScenarios.ts
@@ -1,3 +1,4 @@
+import { ScenarioError } from '../errors/index.js';
 import { partialPartition } from './partialPartition.js';
 import type { Scenario } from './scenario.js';
 import type { SimRun } from '../simulation/index.js';
@@ -52,7 +53,7 @@
     run.scheduleRestart(holder, failureTimeoutMs * 5);
     await run.advance(failureTimeoutMs * 10);
   }
-  if (!arranged()) throw new Error(`the dispatcher stayed on ${run.dispatcher()}`);
+  if (!arranged()) throw new ScenarioError(`the dispatcher stayed on ${run.dispatcher()}`);
 }
 
 async function cutDispatcherOff(run: SimRun, cut: Cut): Promise<void> {
--- a/testing/simulator/src/scenarios/repairScenarios.ts
+++ b/testing/simulator/src/scenarios/repairScenarios.ts
@@ -1,3 +1,4 @@
+import { ScenarioError } from '../errors/index.js';
 import { nextAccepted } from './nextAccepted.js';
 import type { Scenario } from './scenario.js';
 import type { SimRun } from '../simulation/index.js';
@@ -37,7 +38,7 @@
     run: async (run) => {
       for (const role of ['store', 'controller'] as const) {
         const [gone, next] = run.machines(role);
-        if (gone === undefined || next === undefined) throw new Error(`too few of ${role}`);
+        if (gone === undefined || next === undefined) throw new ScenarioError(`too few of ${role}`);
         await nextAccepted(run);
         await run.advanceAtMost(run.operators.sendChange(), 5000);
         run.noteFault(`${gone} is gone for good`);
--- a/testing/simulator/src/simulation/simEnvironment.ts
+++ b/testing/simulator/src/simulation/simEnvironment.ts
@@ -1,6 +1,7 @@
 import * as v from 'valibot';
 import { NodeName } from '@pewterlanding/model';
 import type { OperatorApi } from '@pewterlanding/controller';
+import { SimulationError } from '../errors/index.js';
 import { CountedLosses } from './countedLosses.js';
 import { SimConfigurationClient } from './simConfigurationClient.js';
 import { SimFleet } from './simFleet.js';
@@ -83,7 +84,7 @@
     });
     done.catch(() => undefined);
     for (let waitedMs = 0; !over && waitedMs < timeoutMs; waitedMs += 1) await this.advance(1);
-    if (!over) throw new Error(`not in ${timeoutMs} ms of virtual time`);
+    if (!over) throw new SimulationError(`not in ${timeoutMs} ms of virtual time`);
     return done;
   }
 
@@ -108,7 +109,7 @@
 
   pickRandom<T>(all: readonly T[]): T {
     const one = all[Math.floor(this.fleet.random() * all.length)];
-    if (one === undefined) throw new Error('nothing to pick from');
+    if (one === undefined) throw new SimulationError('nothing to pick from');
     return one;
   }
 
--- a/testing/simulator/src/simulation/simFleet.ts
+++ b/testing/simulator/src/simulation/simFleet.ts
@@ -9,6 +9,7 @@
 import { Counters, quietLog, seededRandom } from '@pewterlanding/runtime';
 import type { Log } from '@pewterlanding/runtime';
 import { BatchStore } from '@pewterlanding/store';
+import { SimulationError } from '../errors/index.js';
 import type { HistoryEvent } from '../history/index.js';
 import { Instance, SimClock, SimMachine, SimTime } from '../engine/index.js';
 import { SimDisk } from '../disk/index.js';
@@ -127,7 +128,7 @@
 
   host(name: string): SimHost {
     const host = this.hosts.get(name);
-    if (host === undefined) throw new Error(`no machine ${name}`);
+    if (host === undefined) throw new SimulationError(`no machine ${name}`);
     return host;
   }
 
--- a/testing/simulator/src/simulation/simRun.ts
+++ b/testing/simulator/src/simulation/simRun.ts
@@ -1,3 +1,4 @@
+import { SimulationError } from '../errors/index.js';
 import { briefBounds, judge } from '../checkers/index.js';
 import type { Violation, Verdict } from '../checkers/index.js';
 import { Disruption } from './disruption.js';
@@ -27,7 +28,7 @@
     this.fleet.bootstrap = false;
     const first = this.changeConfiguration({ whole: this.configuration });
     await this.fleet.time.runTo(8000);
-    if ((await first) !== 'confirmed') throw new Error('the first setup was not confirmed');
+    if ((await first) !== 'confirmed') throw new SimulationError('the first setup was not confirmed');
     for (const replica of this.fleet.replicas.values()) this.fleet.startReplica(replica, () => this.traffic.front().proxy);
     await this.fleet.time.runTo(10_000);
     if (traffic) this.traffic.start();
