--- a/testing/simulator/src/checkers/batchCheckers.ts
+++ b/testing/simulator/src/checkers/batchCheckers.ts
@@ -4,7 +4,7 @@
 import { runsByKey } from './runsByKey.js';
 import { unreadableSpans } from './unreadableSpans.js';
 
-/** What is promised about lots. */
+/** What is promised about batches. */
 export const batchCheckers: Readonly<Record<string, Checker>> = {
   'an accepted lot is lost, doubled or changed': (history, bounds) => {
     const violations: Violation[] = [];
@@ -52,7 +52,7 @@
       const lateMs = (run.sentMs ?? run.atMs) - (endMs ?? Number.POSITIVE_INFINITY);
       return lateMs > bounds.batchEndedMs ? [{ atMs: run.atMs, what: `${run.key} started ${Math.round(lateMs)} ms after the end` }] : [];
     });
-    // Only a lot that still had items to start could have gone wrong.
+    // Only a batch that still had items to start could have gone wrong.
     const items = eventsOfType(history, 'batchAccepted').flatMap((batch) => {
       const endMs = ended.get(batch.batch);
       return endMs === undefined
--- a/testing/simulator/src/checkers/configurationCheckers.ts
+++ b/testing/simulator/src/checkers/configurationCheckers.ts
@@ -25,12 +25,12 @@
   };
 }
 
-/** Whether confirmed setups are in force, stay in force, and are kept. */
+/** Whether confirmed configurations are in force, stay in force, and are kept. */
 export const configurationCheckers: Readonly<Record<string, Checker>> = {
   'a confirmed setup is ignored, or an old one returns': (history, bounds) => {
     const violations: Violation[] = [];
     let judged = 0;
-    // By behaviour: what no setup that may be in force allows must be refused, and must not begin.
+    // By behaviour: what no configuration that may be in force allows must be refused, and must not begin.
     const told = new Map(eventsOfType(history, 'told').map((one) => [one.key, one]));
     const runs = runsByKey(history);
     const possible = possibilities(history, bounds.aboutTwoMs);
--- a/testing/simulator/src/checkers/itemStartChecker.ts
+++ b/testing/simulator/src/checkers/itemStartChecker.ts
@@ -3,7 +3,7 @@
 import { eventsOfType } from '../history/index.js';
 import { runsByKey } from './runsByKey.js';
 
-/** When each lot was ended, by its name. */
+/** When each batch was ended, by its name. */
 function endTimes(history: readonly HistoryEvent[]): ReadonlyMap<string, number> {
   return new Map(eventsOfType(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
 }
@@ -15,7 +15,7 @@
   return times;
 }
 
-/** An accepted item starts within a bound of its being handed in, or its lot is ended first. Judged where a day states a bound. */
+/** An accepted item starts within a bound of its being handed in, or its batch is ended first. Judged where a day states a bound. */
 export const itemStartChecker: Checker = (history, { itemStartMs }) => {
   if (itemStartMs === undefined) return { judged: 0, violations: [] };
   const runs = runsByKey(history);
--- a/testing/simulator/src/checkers/recoveryChecker.ts
+++ b/testing/simulator/src/checkers/recoveryChecker.ts
@@ -4,7 +4,7 @@
 /** So many of a kind must be expected in the window before its rate says anything. */
 const minExpected = 4;
 
-/** Judges each kind of work by itself: streams that are back must not hide lots that are not. */
+/** Judges each kind of work by itself: streams that are back must not hide batches that are not. */
 export const recoveryChecker: Checker = (history, bounds) => {
   const repaired = eventsOfType(history, 'repaired').at(-1);
   const fault = eventsOfType(history, 'faulted')[0];
@@ -15,7 +15,7 @@
   for (const told of eventsOfType(history, 'told')) if (told.outcome === 'returned') add(kinds.get(told.key) ?? 'whole', told.atMs);
   const seen = new Set<string>();
   for (const run of eventsOfType(history, 'ran')) {
-    // An item's run is the earliest sign from outside that lots move; each item counts once.
+    // An item's run is the earliest sign from outside that batches move; each item counts once.
     if (kinds.get(run.key) !== 'batch' || seen.has(run.key)) continue;
     seen.add(run.key);
     add('batch', run.atMs);
@@ -28,7 +28,7 @@
     const rate = (beginMs: number, overMs: number): number =>
       times.filter((atMs) => atMs >= beginMs && atMs < overMs).length / Math.max(1, overMs - beginMs);
     const normal = rate(startMs, fault.atMs);
-    // Lots come in bursts, so what follows the bound is taken as a whole.
+    // Batches come in bursts, so what follows the bound is taken as a whole.
     const windowMs = kind === 'batch' ? endMs - fromMs : Math.min(bounds.aboutTwoMs, endMs - fromMs);
     if (windowMs <= 0 || normal * windowMs < minExpected) return [];
     judged += 1;
--- a/testing/simulator/src/checkers/shareChecker.ts
+++ b/testing/simulator/src/checkers/shareChecker.ts
@@ -13,7 +13,7 @@
   readonly by: 1 | -1;
 }
 
-/** When each item began to wait and when it no longer did: from its lot's acceptance to its first run, or its lot's end. */
+/** When each item began to wait and when it no longer did: from its batch's acceptance to its first run, or its batch's end. */
 function changesOf(history: readonly HistoryEvent[]): readonly Change[] {
   const runs = runsByKey(history);
   const ended = new Map(eventsOfType(history, 'batchEnded').map((batch) => [batch.batch, batch.atMs]));
@@ -55,7 +55,7 @@
   return spans;
 }
 
-/** By requests and by tokens, over every sliding minute in which all branches had work waiting. Judged are the runs in them. */
+/** By requests and by tokens, over every sliding minute in which all quotas had work waiting. Judged are the runs in them. */
 export const shareChecker: Checker = (history, bounds) => {
   const violations: Violation[] = [];
   let judged = 0;
--- a/testing/simulator/src/checkers/unreadableSpans.ts
+++ b/testing/simulator/src/checkers/unreadableSpans.ts
@@ -5,12 +5,12 @@
 
 interface Span {
   readonly batch: string;
-  /** When somebody asked, and how long it was until anybody who asked for this lot could read it. */
+  /** When somebody asked, and how long it was until anybody who asked for this batch could read it. */
   readonly atMs: number;
   readonly waitedMs: number;
 }
 
-/** For each accepted lot the longest that its leaders asked in vain, from `readableMs` after its acceptance on. */
+/** For each accepted batch the longest that its leaders asked in vain, from `readableMs` after its acceptance on. */
 export function unreadableSpans(history: readonly HistoryEvent[], readableMs: number): readonly Span[] {
   const endMs = history.at(-1)?.atMs ?? 0;
   const reads = new Map<string, Read[]>();
--- a/testing/simulator/src/disk/simDisk.ts
+++ b/testing/simulator/src/disk/simDisk.ts
@@ -72,7 +72,7 @@
     return this.#files.get(file)?.length ?? 0;
   }
 
-  /** The disk as one life of a process has it. */
+  /** The disk as one instance of a process has it. */
   open(instance: Instance): Disk {
     return {
       read: async (file) => this.#files.get(file)?.slice(),
--- a/testing/simulator/src/engine/instance.ts
+++ b/testing/simulator/src/engine/instance.ts
@@ -1,4 +1,4 @@
-/** One life of a process. What belongs to a dead one does nothing any more. */
+/** One instance of a process. What belongs to a dead one does nothing any more. */
 export class Instance {
   #dead = false;
   readonly #ends: (() => void)[] = [];
--- a/testing/simulator/src/engine/simClock.ts
+++ b/testing/simulator/src/engine/simClock.ts
@@ -5,7 +5,7 @@
 
 const dateMs = 1_800_000_000_000;
 
-/** The clock of one life of a process on a machine. */
+/** The clock of one instance of a process on a machine. */
 export class SimClock implements Clock {
   readonly #time: SimTime;
   readonly #machine: SimMachine;
--- a/testing/simulator/src/faults/faults.ts
+++ b/testing/simulator/src/faults/faults.ts
@@ -8,7 +8,7 @@
 import { settingsFaults } from './settingsFaults.js';
 import type { SimFault } from './simFault.js';
 
-/** Every trouble that simulated days draw from, by its name. */
+/** Every fault that simulated days draw from, by its name. */
 export const faults: Readonly<Record<string, SimFault>> = {
   ...processFaults,
   ...powerFaults,
--- a/testing/simulator/src/faults/operatorFaults.ts
+++ b/testing/simulator/src/faults/operatorFaults.ts
@@ -71,7 +71,7 @@
       return true;
     },
   },
-  /** A bound that callers notice becomes smaller than the lots they hand in, and is lifted again. */
+  /** A bound that callers notice becomes smaller than the batches they hand in, and is lifted again. */
   tighten: {
     inject: (d) => {
       void d.changeTemporarily({ bounds: { maxItems: 3 } }, { bounds: { maxItems: 1000 } }, d.randomSpan(3000, 7000));
--- a/testing/simulator/src/faults/processFaults.ts
+++ b/testing/simulator/src/faults/processFaults.ts
@@ -15,7 +15,7 @@
   return true;
 }
 
-/** Each of some machines ends politely and starts again, the next one once the one before has caught up. */
+/** Each of some machines ends gracefully and starts again, the next one once the one before has caught up. */
 function roll(d: Disruption, names: readonly string[]): boolean {
   const [name, ...rest] = names;
   if (name === undefined) return true;
--- a/testing/simulator/src/faults/replacementFaults.ts
+++ b/testing/simulator/src/faults/replacementFaults.ts
@@ -28,7 +28,7 @@
       return true;
     },
   },
-  /** The new one comes first, then the old one leaves politely and is taken away. */
+  /** The new one comes first, then the old one leaves gracefully and is taken away. */
   keeperReplacedInOrder: {
     joining: true,
     inject: (d) => {
--- a/testing/simulator/src/faults/replicaFaults.ts
+++ b/testing/simulator/src/faults/replicaFaults.ts
@@ -104,7 +104,7 @@
       return true;
     },
   },
-  /** One falls over and is back, again and again. */
+  /** One crashes and is back, again and again. */
   replicaFlaps: {
     inject: (d) => {
       const replica = d.environment.pickRandom(d.servingReplicas());
--- a/testing/simulator/src/faults/simFault.ts
+++ b/testing/simulator/src/faults/simFault.ts
@@ -1,6 +1,6 @@
 import type { Disruption } from '../simulation/index.js';
 
-/** One trouble as one act, which also brings about its own repair. */
+/** A fault of simulated days, which also schedules its own repair. */
 export interface SimFault {
   /** False where it has to wait its turn: more machines that hold copies would be lost at once than is survived. */
   readonly inject: (disruption: Disruption) => boolean;
--- a/testing/simulator/src/fleet/fleet.ts
+++ b/testing/simulator/src/fleet/fleet.ts
@@ -91,7 +91,7 @@
     await pollUntil('the controller serves', async () => (await this.controller('GET', '/ready')).status === 200, 30_000);
   }
 
-  /** Once a setup is in force: waits for the fronts, and starts the replicas until every front knows them. */
+  /** Once a configuration is in force: waits for the fronts, and starts the replicas until every front knows them. */
   async open(): Promise<void> {
     await this.ready(30_000);
     for (const replica of this.replicas) await replica.start();
@@ -149,7 +149,7 @@
     this.#programs.delete(machine);
   }
 
-  /** Whether any part has a seat on a machine, as the leaders tell it. */
+  /** Whether any part has a group member on a machine, as the leaders tell it. */
   async sits(machine: string): Promise<boolean> {
     const read = check(views.shards, (await this.controller('GET', '/v1/shards')).body);
     if (!read.ok) return true;
--- a/testing/simulator/src/fleet/loadFaults.ts
+++ b/testing/simulator/src/fleet/loadFaults.ts
@@ -1,7 +1,7 @@
 import type { FleetFault } from './fleetFault.js';
 import { sleep } from './sleep.js';
 
-/** Crowds, and many lots at once. */
+/** Crowds, and many batches at once. */
 export const loadFaults: Readonly<Record<string, FleetFault>> = {
   /** Four hundred live tasks in a second, three seconds long. */
   floodTasks: async ({ load: drive, traffic, noteEffect: took }) => {
@@ -13,7 +13,7 @@
     }
     took(first.service, '1,200 tasks in 3 s');
   },
-  /** Far more items than any branch's share, from every branch that hands in lots, for a little over a minute. */
+  /** Far more items than any branch's share, from every branch that hands in batches, for a little over a minute. */
   floodBatches: async ({ load: drive, traffic, noteEffect: took }) => {
     const batches = traffic.find((one) => one.batchItems !== undefined);
     if (batches === undefined) return;
--- a/testing/simulator/src/fleet/loadGenerator.ts
+++ b/testing/simulator/src/fleet/loadGenerator.ts
@@ -34,7 +34,7 @@
 const pollMs = 1000;
 const readMs = 500;
 const strayMs = 1000;
-/** One of so many lots must be refused, one is ended soon, one key is used again for another lot. */
+/** One of so many batches must be refused, one is ended soon, one key is used again for another batch. */
 const wrongOneOf = 7;
 const endedOneOf = 5;
 const reusedOneOf = 9;
@@ -61,7 +61,7 @@
 
   start(): void {
     this.#timers.push(setInterval(() => void this.#poll(), pollMs));
-    // Somebody asks for what no setup ever allowed, and somebody announces it.
+    // Somebody asks for what no configuration ever allowed, and somebody announces it.
     this.#timers.push(setInterval(() => this.#stray(), strayMs));
     this.#reading = setInterval(() => this.#batches.forEach((batch) => void this.#read(batch)), readMs);
     for (const traffic of this.#options.traffic) {
@@ -82,12 +82,12 @@
     return this.#caller.close();
   }
 
-  /** Whose lot an item's key belongs to. */
+  /** Whose batch an item's key belongs to. */
   quotaOf(key: string): string | undefined {
     return this.#quotas.get(key.split('/')[0] ?? '');
   }
 
-  /** Hands in one lot, again under its key until it is told what became of it. */
+  /** Hands in one batch, again under its key until it is told what became of it. */
   async hand(traffic: Traffic, items = traffic.batchItems ?? 1, quota = this.#pick(traffic.quotas)): Promise<void> {
     this.#handed += 1;
     const number = this.#handed;
@@ -99,7 +99,7 @@
     if (number % reusedOneOf === 1) await this.#handUntilTold(`${key}other`, key, traffic, items, quota, traffic.padBytes);
   }
 
-  /** Ends every lot that is not done; how many were. */
+  /** Ends every batch that is not done; how many were. */
   async endAll(): Promise<number> {
     const open = this.#batches.filter((batch) => batch.readsLeft > 0);
     await Promise.all(open.map((batch) => this.#end(batch.key, batch.path)));
@@ -152,7 +152,7 @@
     for (const id of ids) {
       note({ type: 'sent', atMs: Date.now(), key: `${name}/${id}`, service, idempotent: idempotent.has(service), kind: 'batch', quota });
     }
-    // One item that is too dear is enough for the whole lot to be refused.
+    // One item that is too dear is enough for the whole batch to be refused.
     const padOf = (position: number): number => (position === 0 ? pad : traffic.padBytes);
     const granted = ids.map((id, position) => ({ id, input: { key: `${name}/${id}`, pad: 'x'.repeat(padOf(position)) } }));
     const body = JSON.stringify({ service, items: granted });
--- a/testing/simulator/src/fleet/operator.ts
+++ b/testing/simulator/src/fleet/operator.ts
@@ -6,7 +6,7 @@
 import type { Fleet } from './fleet.js';
 
 const Named = v.record(v.string(), v.unknown());
-/** What of a setup its callers would notice. */
+/** What of a configuration its callers would notice. */
 const Allowed = v.object({ services: Named, branches: Named, bounds: v.optional(v.object({ maxItems: v.optional(v.number()) }), {}) });
 
 /** An operator of a real fleet, who writes down what was planned, confirmed, refused and read back. */
@@ -25,7 +25,7 @@
     return read.value.setup ?? {};
   }
 
-  /** Plans a shard of a setup and confirms it; the version in force, or undefined when it was refused or nothing is known. */
+  /** Plans a part of a configuration and confirms it; the version in force, or undefined when it was refused or nothing is known. */
   async change(part: Record<string, unknown>): Promise<number | undefined> {
     const before = await this.configuration();
     const made = await this.#fleet.controller('POST', '/v1/plans', { part });
@@ -34,7 +34,7 @@
     return this.#confirm(plan.value, mergePatch(before, part));
   }
 
-  /** The first setup of a fleet, whole. */
+  /** The first configuration of a fleet, whole. */
   async first(whole: Readonly<Record<string, unknown>>): Promise<number | undefined> {
     const made = await this.#fleet.controller('POST', '/v1/plans', { whole });
     const plan = check(views.plan, made.body);
--- a/testing/simulator/src/fleet/operatorFaults.ts
+++ b/testing/simulator/src/fleet/operatorFaults.ts
@@ -14,7 +14,7 @@
   throw new HarnessError(`not confirmed: ${JSON.stringify(part).slice(0, 200)}`);
 }
 
-/** Starts an empty machine of a kind under a new name and address, and lets the setup know it. */
+/** Starts an empty machine of a kind under a new name and address, and lets the configuration know it. */
 async function add(context: FaultContext, kind: 'controller' | 'store', instead: string | undefined): Promise<string> {
   const place = await context.fleet.addMachine(kind);
   const rows = { ...(instead === undefined ? {} : { [instead]: null }), [place.name]: { address: place.address, zone: place.zone } };
@@ -89,7 +89,7 @@
     await sleep(2000);
   },
 
-  /** Changes in quick succession while the setup's leader is killed. */
+  /** Changes in quick succession while the configuration's leader is killed. */
   configurationBurst: async (context) => {
     const { fleet, noteEffect: took } = context;
     const owner = await targets.shardLeader(fleet, 'setup');
@@ -103,7 +103,7 @@
     if (confirmed > 0) took(`the setup, and ${owner} killed`, `${confirmed} of 8 changes were confirmed`);
   },
 
-  /** Thousands of branches and services, confirmed and pruned again, with a front killed meanwhile. */
+  /** Thousands of quotas and services, confirmed and pruned again, with a front killed meanwhile. */
   largeConfiguration: async (context) => {
     const { fleet, operator, random, noteEffect: took } = context;
     const { services } = await operator.configuration();
--- a/testing/simulator/src/fleet/processFaults.ts
+++ b/testing/simulator/src/fleet/processFaults.ts
@@ -62,7 +62,7 @@
     took(name, 'every sync took 800 ms longer for 8 s');
   },
 
-  /** Every machine is restarted politely, one after another, by the operators' page. */
+  /** Every machine is restarted gracefully, one after another, by the operators' page. */
   rollFleet: async ({ fleet, noteEffect: took }) => {
     for (const name of (['controller', 'store', 'front'] as const).flatMap((kind) => targets.names(fleet, kind))) {
       const daemons = targets.daemons(fleet, name);
--- a/testing/simulator/src/fleet/readDeployment.ts
+++ b/testing/simulator/src/fleet/readDeployment.ts
@@ -42,7 +42,7 @@
       boots.set(key, { ...bootSettings, seeds, ...(program === 'proxy' ? {} : { advertise: relayed(bootSettings.listen) }) });
     }
   }
-  // The setup names no other address on the wire's port than those of controllers and stores.
+  // The configuration names no other address on the wire's port than those of controllers and stores.
   const configuration = await read('setup.json', v.record(v.string(), v.unknown()), (text) =>
     links ? text.replaceAll(`${transportPort}"`, `${relayPort}"`) : text,
   );
--- a/testing/simulator/src/fleet/targets.ts
+++ b/testing/simulator/src/fleet/targets.ts
@@ -39,7 +39,7 @@
     return shardLeader;
   },
 
-  /** True when every shard is served and none of its seats lags or only follows. */
+  /** True when every shard is served and none of its group members lags or only follows. */
   settled: async (fleet: Fleet): Promise<boolean> => {
     const read = check(views.shards, (await fleet.controller('GET', '/v1/shards')).body);
     if (!read.ok) return false;
--- a/testing/simulator/src/fleet/waitingShares.ts
+++ b/testing/simulator/src/fleet/waitingShares.ts
@@ -3,7 +3,7 @@
 import { HarnessError } from '../errors/index.js';
 import type { Deployment } from './deployment.js';
 
-/** The shares a minute of the branches that hand in lots. */
+/** The shares a minute of the quotas that hand in batches. */
 export function waitingShares(configuration: unknown, traffic: Deployment['traffic']) {
   const read = check(Configuration, configuration);
   if (!read.ok) throw new HarnessError('the setup cannot be read');
--- a/testing/simulator/src/history/eventsOfType.ts
+++ b/testing/simulator/src/history/eventsOfType.ts
@@ -1,6 +1,6 @@
 import type { HistoryEvent } from './historyEvent.js';
 
-/** The happenings of one kind, in order. */
+/** The events of one kind, in order. */
 export function eventsOfType<T extends HistoryEvent['type']>(history: readonly HistoryEvent[], t: T): Extract<HistoryEvent, { type: T }>[] {
   const found: Extract<HistoryEvent, { type: T }>[] = [];
   for (const one of history) if (is(one, t)) found.push(one);
--- a/testing/simulator/src/history/historyEvent.ts
+++ b/testing/simulator/src/history/historyEvent.ts
@@ -41,7 +41,7 @@
     /** What it read and wrote. */
     bytes: v.optional(v.number()),
   }),
-  /** From then on the fleet knew that the replica's life was over; and that a new one had begun. */
+  /** From then on the fleet knew that the replica's instance was over; and that a new one had begun. */
   v.strictObject({ type: v.literal('replicaEnds'), atMs, replica: v.string() }),
   v.strictObject({ type: v.literal('replicaBegins'), atMs, replica: v.string() }),
   /** A plan, and what would be allowed under it. */
@@ -77,7 +77,7 @@
     lost: v.boolean(),
   }),
   v.strictObject({ type: v.literal('batchAccepted'), atMs, batch: v.string(), quota: v.string(), items: names }),
-  /** The lot was refused for good: none of its items may ever run. */
+  /** The batch was refused for good: none of its items may ever run. */
   v.strictObject({ type: v.literal('batchRefused'), atMs, batch: v.string(), items: names }),
   v.strictObject({
     type: v.literal('batchRead'),
--- a/testing/simulator/src/hollow/hollowConfiguration.ts
+++ b/testing/simulator/src/hollow/hollowConfiguration.ts
@@ -1,6 +1,6 @@
 import type { HollowPlace } from './hollowPlace.js';
 
-/** A setup for a hollow fleet: one service, its controllers and its first stores. */
+/** A configuration for a hollow fleet: one service, its controllers and its first stores. */
 export function hollowConfiguration(places: readonly HollowPlace[], outputTokens: number): Record<string, unknown> {
   const placed = (role: HollowPlace['role']): Record<string, unknown> =>
     Object.fromEntries(
--- a/testing/simulator/src/hollow/hollowFleet.ts
+++ b/testing/simulator/src/hollow/hollowFleet.ts
@@ -83,7 +83,7 @@
     return this.#heard(key, atMs, timeoutMs);
   }
 
-  /** Confirms a setup: how long until it is in force, and until every node heard it. */
+  /** Confirms a configuration: how long until it is in force, and until every node heard it. */
   async confirm(outputTokens: number, timeoutMs: number) {
     const word = await this.#order(0, { kind: 'confirm', outputTokens });
     const heardMs = await this.#heard(`setup/${word.counts?.['version'] ?? 0}`, word.atMs ?? 0, timeoutMs);
--- a/testing/simulator/src/hollow/hollowOptions.ts
+++ b/testing/simulator/src/hollow/hollowOptions.ts
@@ -12,7 +12,7 @@
   replicas: Count,
   /** How often a front tells each of its replicas anew; 0 for once. */
   announceMs: Count,
-  /** Replicas at which each front has tasks under way, others each beat. */
+  /** Replicas at which each front has tasks under way, others each heartbeat. */
   running: Count,
   folder: v.string(),
 });
--- a/testing/simulator/src/measurements/scale.ts
+++ b/testing/simulator/src/measurements/scale.ts
@@ -35,7 +35,7 @@
   for (const itemsPerBatch of [10, 100, 500]) {
     const run = new SimRun({ seed, tasks: 1, batches: 1, itemsPerBatch, requestsPerMinute: 600 });
     await run.begin();
-    // Let it lie: no more lots, no readers, only what waits.
+    // Let it lie: no more batches, no readers, only what waits.
     run.traffic.stop();
     await run.advance(2000);
     const before = counts(run);
--- a/testing/simulator/src/measurements/slopes.ts
+++ b/testing/simulator/src/measurements/slopes.ts
@@ -62,7 +62,7 @@
   };
 }
 
-/** A shard of lots with so many items, taken from hand-in to their results. */
+/** A shard of batches with so many items, taken from hand-in to their results. */
 function batchItems(items: number, print: (line: string) => void): void {
   const before = heapBytes();
   const shard = new BatchShard();
--- a/testing/simulator/src/model/exploredProcess.ts
+++ b/testing/simulator/src/model/exploredProcess.ts
@@ -1,17 +1,16 @@
-import { GroupReconciler, ShardHost } from '@pewterlanding/consensus';
-import type { GroupMember, Member } from '@pewterlanding/consensus';
+import { GroupReconciler } from '@pewterlanding/consensus';
+import type { GroupMember, Member, ShardHost } from '@pewterlanding/consensus';
 import { ConfigurationShard } from '@pewterlanding/controller';
 import type { ConfigurationCommand, ConfigurationReturn } from '@pewterlanding/controller';
 import { Counters, quietLog } from '@pewterlanding/runtime';
 import type { Address, NodeName } from '@pewterlanding/model';
 import type { Disk, Transport } from '@pewterlanding/runtime';
-import { Instance, SimClock, SimMachine } from '../engine/index.js';
+import { Instance, SimMachine } from '../engine/index.js';
 import type { SimNet } from '../network/index.js';
-import type { SimTime } from '../engine/index.js';
-import { SimTransport } from '../network/index.js';
+import type { SimClock, SimTime } from '../engine/index.js';
+import { groupProcess } from './groupProcess.js';
 import { modelBounds } from './modelBounds.js';
 import { PackedShard } from './packedShard.js';
-import { tapTransport } from './tapTransport.js';
 
 interface ExploredProcessOptions {
   readonly name: NodeName;
@@ -26,9 +25,9 @@
 }
 
 const shard = 'setup';
-const { failureTimeoutMs, compactBytes } = modelBounds;
+const { failureTimeoutMs } = modelBounds;
 
-/** One life of a process in the small group that is explored: the shipped member and its reconciler, and nothing beside them. */
+/** One instance of a process in the small group that is explored: the shipped member and its reconciler, and nothing beside them. */
 export class ExploredProcess {
   readonly instance = new Instance();
   readonly machine = new ConfigurationShard();
@@ -41,15 +40,15 @@
 
   constructor(options: ExploredProcessOptions) {
     this.#options = options;
-    const { name, address, time, net, mintMemberId } = options;
+    const { name, address, time, net, mintMemberId, led } = options;
+    const { instance } = this;
     const machine = new SimMachine(name, 'a', 0, time);
-    this.#clock = new SimClock(time, machine, this.instance);
-    const context = { clock: this.#clock, counters: new Counters() };
-    this.#transport = tapTransport(new SimTransport({ ...context, here: address, machine, instance: this.instance, net }), options.led);
-    const bounds = { failureTimeoutMs, compactBytes };
-    const disk = options.openDisk(this.instance);
+    const openDisk = (): Disk => options.openDisk(instance);
     const fatal = (): void => this.end();
-    this.host = new ShardHost({ ...context, transport: this.#transport, disk, bounds, log: quietLog, fatal, name, address, mintMemberId });
+    const parts = groupProcess({ name, address, instance, machine, time, net, openDisk, log: quietLog, fatal, mintMemberId, led });
+    this.#clock = parts.clock;
+    this.#transport = parts.transport;
+    this.host = parts.host;
   }
 
   get member(): Member<ConfigurationCommand, ConfigurationReturn> | undefined {
--- a/testing/simulator/src/model/invariants.ts
+++ b/testing/simulator/src/model/invariants.ts
@@ -34,7 +34,7 @@
   readonly #placed = new Map<string, Placed>();
   readonly #committed = new Map<number, Committed>();
   readonly #states = new Map<number, string>();
-  /** Up to where each life of a member has been looked at. */
+  /** Up to where each instance of a member has been looked at. */
   readonly #seen = new Map<ModelMember, number>();
   /** Snapshots of the members that were looked at, by what they hold. */
   readonly #groups = new Map<number, readonly GroupMember[]>();
--- a/testing/simulator/src/model/modelMachine.ts
+++ b/testing/simulator/src/model/modelMachine.ts
@@ -18,7 +18,7 @@
   retired: boolean;
   /** It left the group for another, and will be switched off. */
   replaced: boolean;
-  /** Its process was told to end politely. */
+  /** Its process was told to end gracefully. */
   leaving: boolean;
   /** The group that its member's log was last seen to name. */
   group: readonly GroupMember[];
--- a/testing/simulator/src/model/modelMutations.ts
+++ b/testing/simulator/src/model/modelMutations.ts
@@ -1,6 +1,6 @@
 import type { Mutation } from '../mutation/index.js';
 
-/** A guard of the consensus or of the register, and a run of the model that fails without it within so many cases. */
+/** A safeguard of the consensus or of the register, and a run of the model that fails without it within so many cases. */
 interface ModelMutation extends Pick<Mutation, 'name' | 'edits'> {
   readonly tolerance: 1 | 2;
   readonly seed: number;
--- a/testing/simulator/src/model/modelNode.ts
+++ b/testing/simulator/src/model/modelNode.ts
@@ -1,18 +1,17 @@
-import { bootstrapGroup, GroupReconciler, LeaderFinder, replyAsLeader, ShardHost } from '@pewterlanding/consensus';
-import type { Member } from '@pewterlanding/consensus';
+import { bootstrapGroup, GroupReconciler, LeaderFinder, replyAsLeader } from '@pewterlanding/consensus';
+import type { Member, ShardHost } from '@pewterlanding/consensus';
 import { controllerCalls, firstStart, OperatorApi, serveConfigurationChanges, ConfigurationShard } from '@pewterlanding/controller';
 import type { Placement, ConfigurationCommand, ConfigurationReturn } from '@pewterlanding/controller';
-import { Counters, every, TransportError } from '@pewterlanding/runtime';
+import { every, TransportError } from '@pewterlanding/runtime';
 import type { Address, NodeName } from '@pewterlanding/model';
-import type { Log, Transport } from '@pewterlanding/runtime';
-import { Instance, SimClock } from '../engine/index.js';
+import type { Counters, Disk, Log, Transport } from '@pewterlanding/runtime';
+import { Instance } from '../engine/index.js';
 import type { SimDisk } from '../disk/index.js';
-import type { SimMachine, SimTime } from '../engine/index.js';
-import { SimTransport } from '../network/index.js';
+import type { SimClock, SimMachine, SimTime } from '../engine/index.js';
+import { groupProcess } from './groupProcess.js';
 import { modelBounds } from './modelBounds.js';
 import type { ModelNet } from './modelNet.js';
 import { PackedShard } from './packedShard.js';
-import { tapTransport } from './tapTransport.js';
 import type { WriteTrap } from './writeTrap.js';
 
 interface ModelNodeOptions {
@@ -31,7 +30,7 @@
   /** Whether the group starts for the very first time. */
   readonly bootstrap: boolean;
   readonly mintMemberId: () => string;
-  /** The seating that shall follow on the one in force, if another is wanted. */
+  /** The placement that shall follow on the one in force, if another is wanted. */
   readonly nextPlacement: (now: Placement) => Placement | undefined;
   readonly fatal: () => void;
   /** Told who sends as a leader under which term. */
@@ -39,9 +38,9 @@
 }
 
 const shard = 'setup';
-const { failureTimeoutMs, compactBytes, orderWaitMs } = modelBounds;
+const { failureTimeoutMs, orderWaitMs } = modelBounds;
 
-/** One life of a process that is a member of the group: the shipped classes, put together as the controller does it. */
+/** One instance of a process that is a member of the group: the shipped classes, put together as the controller does it. */
 export class ModelNode {
   readonly instance = new Instance();
   readonly machine = new ConfigurationShard();
@@ -50,20 +49,21 @@
   readonly #clock: SimClock;
   readonly #transport: Transport;
   readonly #host: ShardHost;
-  readonly #counters = new Counters();
+  readonly #counters: Counters;
   #member: Member<ConfigurationCommand, ConfigurationReturn> | undefined;
   #reconciler: GroupReconciler<ConfigurationCommand, ConfigurationReturn> | undefined;
   #stop = (): void => undefined;
 
   constructor(options: ModelNodeOptions) {
     this.#options = options;
-    const { address, machine, time, net, log, fatal, name, mintMemberId } = options;
-    this.#clock = new SimClock(time, machine, this.instance);
-    const context = { clock: this.#clock, counters: this.#counters };
-    this.#transport = tapTransport(new SimTransport({ ...context, here: address, machine, instance: this.instance, net }), options.led);
-    const disk = options.trap.wrap(options.disk.open(this.instance));
-    const bounds = { failureTimeoutMs, compactBytes };
-    this.#host = new ShardHost({ ...context, transport: this.#transport, disk, bounds, log, fatal, name, address, mintMemberId });
+    const { address, machine, time, net, log, fatal, name, mintMemberId, led } = options;
+    const { instance } = this;
+    const openDisk = (): Disk => options.trap.wrap(options.disk.open(instance));
+    const parts = groupProcess({ name, address, instance, machine, time, net, openDisk, log, fatal, mintMemberId, led });
+    this.#clock = parts.clock;
+    this.#counters = parts.counters;
+    this.#transport = parts.transport;
+    this.#host = parts.host;
     const finder = new LeaderFinder({
       transport: this.#transport,
       clock: this.#clock,
@@ -72,7 +72,7 @@
     });
     this.operatorApi = new OperatorApi({ finder, clock: this.#clock, waitMs: orderWaitMs });
     this.#serve();
-    this.#open(disk).catch((error: unknown) => log.error(String(error)));
+    this.#open(parts.disk).catch((error: unknown) => log.error(String(error)));
   }
 
   get member(): Member<ConfigurationCommand, ConfigurationReturn> | undefined {
@@ -129,7 +129,7 @@
     this.#stop = every(this.#clock, failureTimeoutMs / 4, () => this.#seat(member));
   }
 
-  /** Has the wanted seating written, as the controller does for the machines that announce themselves. */
+  /** Has the wanted placement written, as the controller does for the machines that announce themselves. */
   async #seat(member: Member<ConfigurationCommand, ConfigurationReturn>): Promise<void> {
     if (!member.isLeader) return;
     const placement = this.#options.nextPlacement(this.machine.placement);
--- a/testing/simulator/src/model/replyAddresses.ts
+++ b/testing/simulator/src/model/replyAddresses.ts
@@ -8,7 +8,7 @@
 }
 
 /**
- * Under which address each life of a process is answered. On real connections an answer goes back the way the call came and ends with
+ * Under which address each instance of a process is answered. On real connections an answer goes back the way the call came and ends with
  * the process that asked; a later process at the same address, which numbers its calls alike, must not take it for its own.
  */
 export class ReplyAddresses {
--- a/testing/simulator/src/mutation/consensusMutations.ts
+++ b/testing/simulator/src/mutation/consensusMutations.ts
@@ -3,7 +3,7 @@
 const controller = 'programs/controller/dist/src';
 const consensus = 'packages/consensus/dist/src';
 
-/** The guards of replicated shards and of what the configuration shard holds, shown by the tests of these. */
+/** The safeguards of replicated shards and of what the configuration shard holds, shown by the tests of these. */
 export const consensusMutations: readonly Mutation[] = [
   {
     name: 'repeatsOfTheDay',
--- a/testing/simulator/src/mutation/mutation.ts
+++ b/testing/simulator/src/mutation/mutation.ts
@@ -1,8 +1,8 @@
 interface Edit {
-  /** A file of the built tree, and the exact text in it that is the guard, or a shard of it. */
+  /** A file of the built tree, and the exact text in it that is the safeguard, or a part of it. */
   readonly file: string;
   readonly text: string;
-  /** What takes its place when the guard is out. */
+  /** What takes its place when the safeguard is out. */
   readonly instead: string;
 }
 
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -13,7 +13,7 @@
 /** The same of batch items, which run again under their ids. */
 const itemRuns = 'programs/proxy/dist/test/itemTransport.property.test.js';
 
-/** The guards of what must never happen. */
+/** The safeguards of what must never happen. */
 export const mutations: readonly Mutation[] = [
   {
     name: 'retryRule',
--- a/testing/simulator/src/mutation/runMutations.ts
+++ b/testing/simulator/src/mutation/runMutations.ts
@@ -12,7 +12,7 @@
 
 interface Outcome {
   readonly mutation: Mutation;
-  /** Seeds under which the rule was broken with the guard out, and those of them that the untouched tree kept, having judged it. */
+  /** Seeds under which the rule was broken with the safeguard removed, and those of them that the untouched tree kept, having judged it. */
   readonly red: readonly number[];
   readonly green: readonly number[];
   readonly detected: boolean;
@@ -60,7 +60,7 @@
   return scenario.endsWith('.test.js') ? propertyVerdicts(tree, scenario, rule, seeds) : verdictsOf(tree, scenario, seeds);
 }
 
-/** Takes each guard out in a copy of the built tree and runs its scenario: red without it, green with it, under the same seeds. */
+/** Takes each safeguard out in a copy of the built tree and runs its scenario: red without it, green with it, under the same seeds. */
 export async function runMutations(
   root: string,
   mutations: readonly Mutation[],
@@ -94,7 +94,7 @@
     const within = await verdictsIn(root, mutation);
     const red = without.filter((one) => one.rule === mutation.rule && one.broken > 0).map((one) => one.seed);
     const green = within.filter((one) => one.rule === mutation.rule && one.broken === 0 && one.judged > 0).map((one) => one.seed);
-    // Every named seed is green with the guard in; every one is red without it.
+    // Every named seed is green with the safeguard in; every one is red without it.
     return { mutation, red, green, detected: red.length === mutation.seeds.length && green.length === mutation.seeds.length };
   } finally {
     await tree.remove();
--- a/testing/simulator/src/mutation/scratchTree.ts
+++ b/testing/simulator/src/mutation/scratchTree.ts
@@ -9,7 +9,7 @@
 const kinds = ['packages', 'programs', 'testing'];
 const scope = '@pewterlanding';
 
-/** A copy of the built tree in which guards are taken out; nothing of the tree itself is touched. */
+/** A copy of the built tree in which safeguards are taken out; nothing of the tree itself is touched. */
 export class ScratchTree {
   readonly folder: string;
 
@@ -35,7 +35,7 @@
     return tree;
   }
 
-  /** Takes a guard out. A text that is not there exactly once is an error: the list is out of date. */
+  /** Takes a safeguard out. A text that is not there exactly once is an error: the list is out of date. */
   async apply(mutation: Mutation): Promise<void> {
     const findings: Finding[] = [];
     for (const { file, text, instead } of mutation.edits) {
--- a/testing/simulator/src/runs/expectDay.ts
+++ b/testing/simulator/src/runs/expectDay.ts
@@ -9,7 +9,7 @@
   'an accepted batch item waits too long for its start',
 ]);
 
-/** Runs a day and throws with its complaints, its seed and its faults, so that the failure replays exactly. */
+/** Runs a day and throws with its violations, its seed and its faults, so that the failure replays exactly. */
 export async function expectDay(seed: number, faults?: readonly string[], deployment?: string): Promise<void> {
   const day = await simDay({ seed, faults, deployment });
   const returned = day.told['returned'] ?? 0;
--- a/testing/simulator/src/scenarios/batchScenarios.ts
+++ b/testing/simulator/src/scenarios/batchScenarios.ts
@@ -5,9 +5,9 @@
 /** So slow that power can be lost between one write and the next. */
 const slowSyncMs = 400;
 
-/** Lots whose keepers lose power, die, are cut off, or lose their disks. */
+/** Batches whose state machine hosts lose power, die, are cut off, or lose their disks. */
 export const batchScenarios: Readonly<Record<string, Scenario>> = {
-  /** The stores lose their power right after a lot was accepted. */
+  /** The stores lose their power right after a batch was accepted. */
   powerAfterAccept: {
     options: { batches: 4 },
     run: async (run) => {
@@ -23,7 +23,7 @@
       }
     },
   },
-  /** The leader of a lot's shard dies right after the lot was accepted. */
+  /** The leader of a batch's shard dies right after the batch was accepted. */
   ownerDiesAfterAccept: {
     options: { batches: 4 },
     takeoverMs: 1000,
--- a/testing/simulator/src/scenarios/fleetScenarios.ts
+++ b/testing/simulator/src/scenarios/fleetScenarios.ts
@@ -8,7 +8,7 @@
       await run.advance(6000);
     },
   },
-  /** Controller machines and stores are restarted politely, one after another. */
+  /** Controller machines and stores are restarted gracefully, one after another. */
   rollMachines: {
     run: async (run) => {
       for (const name of [...run.machines('controller'), ...run.machines('store')]) {
--- a/testing/simulator/src/scenarios/itemScenarios.ts
+++ b/testing/simulator/src/scenarios/itemScenarios.ts
@@ -4,12 +4,12 @@
 
 /** Items that are leased, started and ended while machines die and stand still. */
 export const itemScenarios: Readonly<Record<string, Scenario>> = {
-  /** Lots are ended while fronts stand still that have leases of theirs before them, and that are still fresh when they wake. */
+  /** Batches are ended while fronts stand still that have leases of theirs before them, and that are still fresh when they wake. */
   endedWhileFrozen: {
     options: { batches: 3, itemsPerBatch: 10, freshnessMs: 8000 },
     run: async (run) => {
       for (let round = 0; round < 5; round += 1) {
-        // The lot is leased in the next tick, and ended a moment later.
+        // The batch is leased in the next tick, and ended a moment later.
         await nextAccepted(run, 60);
         const { machine } = run.fleet.host(run.pickRandom(run.machines('front')));
         run.noteFault(`${machine.name} stands still`);
--- a/testing/simulator/src/scenarios/limitScenarios.ts
+++ b/testing/simulator/src/scenarios/limitScenarios.ts
@@ -2,7 +2,7 @@
 
 /** Waiting work that must stay inside its branch's share. */
 export const limitScenarios: Readonly<Record<string, Scenario>> = {
-  /** Nobody hands in a lot for a minute; then both branches have more waiting than their share. */
+  /** Nobody hands in a batch for a minute; then both quotas have more waiting than their share. */
   floodAfterIdle: {
     options: { tasks: 2, batches: 0.8, itemsPerBatch: 40, requestsPerMinute: 1200 },
     run: async (run) => {
@@ -14,7 +14,7 @@
       await run.advance(80_000);
     },
   },
-  /** The dispatcher dies again and again while both branches have more waiting than their share. */
+  /** The dispatcher dies again and again while both quotas have more waiting than their share. */
   floodAndMoves: {
     options: { tasks: 2, batches: 0.8, itemsPerBatch: 40, requestsPerMinute: 1200 },
     run: async (run) => {
--- a/testing/simulator/src/scenarios/scenario.ts
+++ b/testing/simulator/src/scenarios/scenario.ts
@@ -14,7 +14,7 @@
     readonly tolerance?: number;
     readonly joining?: { readonly copies: number };
   };
-  /** How long a lot may not be readable, where the brief's second is meant. */
+  /** How long a batch may not be readable, where the brief's second is meant. */
   readonly takeoverMs?: number;
   /** How long an accepted batch item may take to its first start, where the scenario bounds it. */
   readonly itemStartMs?: number;
--- a/testing/simulator/src/simulation/disruption.ts
+++ b/testing/simulator/src/simulation/disruption.ts
@@ -153,7 +153,7 @@
     return true;
   }
 
-  /** The fleet knows of the end of this life after a while. */
+  /** The fleet knows of the end of this instance after a while. */
   scheduleReplicaEnd(replica: SimReplica, afterMs: number): void {
     const { instance } = replica;
     this.environment.schedule(afterMs, () => {
@@ -168,7 +168,7 @@
     });
   }
 
-  /** It falls over, and its silence is what tells. */
+  /** It crashes, and its silence is what tells. */
   crashReplica(replica: SimReplica, backMs: number): void {
     replica.instance.end();
     this.scheduleReplicaEnd(replica, 6000);
--- a/testing/simulator/src/simulation/simConfiguration.ts
+++ b/testing/simulator/src/simulation/simConfiguration.ts
@@ -10,7 +10,7 @@
   readonly joining?: boolean;
 }
 
-/** The setup that simulated fleets run under: five services, four branches; nothing of `ghost`. */
+/** The configuration that simulated fleets run under: five services, four quotas; nothing of `ghost`. */
 export function simConfiguration(options: SimConfigurationOptions): Record<string, unknown> {
   const zones = ['a', 'b', 'c'];
   const machines = (kind: string, net: number, count: number, from: number): Record<string, unknown> =>
--- a/testing/simulator/src/simulation/simConfigurationClient.ts
+++ b/testing/simulator/src/simulation/simConfigurationClient.ts
@@ -5,7 +5,7 @@
 import type { SimFleet } from './simFleet.js';
 
 const Named = v.record(v.string(), v.unknown());
-/** What of a planned setup its callers would notice. */
+/** What of a planned configuration its callers would notice. */
 const Allowed = v.object({ services: Named, quotas: Named, bounds: v.object({ maxItems: v.number() }) });
 
 /** Changes and reads the configuration of a simulated fleet through its operator API, and records the results in the history. */
--- a/testing/simulator/src/simulation/simEnvironment.ts
+++ b/testing/simulator/src/simulation/simEnvironment.ts
@@ -93,7 +93,7 @@
     await this.advanceUntilSettled(coming, timeoutMs).catch(() => undefined);
   }
 
-  /** The store machine that leads a shard of the lots, or any. */
+  /** The store machine that leads a shard of the batches, or any. */
   async batchLeader(shard: string): Promise<string> {
     for (const host of this.fleet.named('store')) {
       const kept = (await host.process?.store?.shards()) ?? [];
@@ -113,7 +113,7 @@
     return one;
   }
 
-  /** The controller machine that leads the setup shard, or any. */
+  /** The controller machine that leads the configuration shard, or any. */
   configurationLeader(): string {
     const controllers = this.fleet.named('controller');
     return (controllers.find((host) => host.process?.controller?.member?.isLeader === true) ?? controllers[0])?.machine.name ?? 'core-1';
@@ -125,7 +125,7 @@
     return (controllers.find((host) => host.process?.controller?.dispatcher !== undefined) ?? controllers[0])?.machine.name ?? 'core-1';
   }
 
-  /** A machine's process ends politely: what it holds is handed on first. */
+  /** A machine's process ends gracefully: what it holds is handed on first. */
   shutDown(name: string): void {
     this.fleet.shutDown(name);
   }
@@ -154,7 +154,7 @@
     return this.fleet.replicas.size < this.hosts.length ? this.fleet.addReplica(like) : undefined;
   }
 
-  /** A machine ends politely and is gone for good a while later. */
+  /** A machine ends gracefully and is gone for good a while later. */
   decommission(name: string): void {
     if (!this.fleet.hosts.has(name)) return;
     this.fleet.shutDown(name);
--- a/testing/simulator/src/simulation/simFleet.ts
+++ b/testing/simulator/src/simulation/simFleet.ts
@@ -182,7 +182,7 @@
     seeds?.splice(0, seeds.length, ...this.seeds);
   }
 
-  /** The process ends politely, as on the first signal; it is over a moment later. */
+  /** The process ends gracefully, as on the first signal; it is over a moment later. */
   shutDown(name: string): void {
     const { process, machine } = this.hosts.get(name) ?? {};
     if (process === undefined || machine === undefined) return;
@@ -253,7 +253,7 @@
       process.operatorApi = new OperatorApi({ finder: controller.finder, clock, waitMs: failureTimeoutMs * 15 });
       controller.start().catch((error: unknown) => {
         this.#trace?.(`${machine.name} ${String(error)}`);
-        // Unless this life is over, the program ends over it, as the shipped one does.
+        // Unless this instance has ended, the program ends over it, as the shipped one does.
         if (!instance.dead) this.kill(machine.name);
       });
     } else process.store = new BatchStore(shared);
--- a/testing/simulator/src/simulation/simReplica.ts
+++ b/testing/simulator/src/simulation/simReplica.ts
@@ -8,7 +8,7 @@
   readonly pieces: number;
 }
 
-/** A replica in virtual time: the machine it stands on, its present life, and what it takes. */
+/** A replica in virtual time: the machine it stands on, its present instance, and what it takes. */
 export interface SimReplica {
   readonly address: Address;
   readonly machine: SimMachine;
--- a/testing/simulator/src/simulation/simRun.ts
+++ b/testing/simulator/src/simulation/simRun.ts
@@ -9,7 +9,7 @@
   readonly verdicts: readonly Verdict[];
   /** Of all rules, each with its rule. */
   readonly violations: readonly (Violation & { readonly rule: string })[];
-  /** Lots of before the repair that did not come to an end by the end of the day. */
+  /** Batches of before the repair that did not come to an end by the end of the day. */
   readonly unfinished: number;
   readonly told: Readonly<Record<string, number>>;
   readonly events: number;
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Repairs what can be repaired, lets the fleet recover, judges the history. `takeoverMs` bounds how long a lot may not be read,
+   * Repairs what can be repaired, lets the fleet recover, judges the history. `takeoverMs` bounds how long a batch may not be read,
    * `itemStartMs` how long an accepted item may wait for its start.
    */
   async finish(takeoverMs = briefBounds.recoveryMs, itemStartMs?: number): Promise<Outcome> {
--- a/testing/simulator/src/simulation/simTraffic.ts
+++ b/testing/simulator/src/simulation/simTraffic.ts
@@ -5,24 +5,24 @@
 import type { SimFleet } from './simFleet.js';
 
 interface TrafficOptions {
-  /** Tasks and lots a second. */
+  /** Tasks and batches a second. */
   readonly tasks: number;
   readonly batches: number;
   readonly itemsPerBatch: number;
-  /** One of so many lots is ended soon after it was handed in. */
+  /** One of so many batches is ended soon after it was handed in. */
   readonly endOneOf: number;
   readonly batchShards: number;
 }
 
 const quotas = ['south', 'north'] as const;
-/** One of so many lots is one that must be refused, and one of so many keys is used again for another lot. */
+/** One of so many batches is one that must be refused, and one of so many keys is used again for another batch. */
 const wrongOneOf = 7;
 const reusedOneOf = 9;
 const endedItems = 60;
 /** Refusals that no later try under the same key changes. */
 const final = new Set([403, 404, 409, 413, 422]);
 
-/** What the n-th caller asks for: mostly the two main services, now and then one that comes and goes, or one that no setup ever had. */
+/** The request of the n-th caller: mostly one of the two main services, sometimes one that comes and goes or was never configured. */
 function askOf(number: number): {
   readonly service: string;
   readonly quota: string;
@@ -49,12 +49,12 @@
 const Piece = v.object({ run: v.string(), number: v.number(), of: v.number() });
 const Whole = v.object({ key: v.string(), run: v.string() });
 
-/** Callers in virtual time: live tasks, lots handed in, read twice a second, sometimes ended. */
+/** Callers in virtual time: live tasks, batches handed in, read twice a second, sometimes ended. */
 export class SimTraffic {
   readonly #fleet: SimFleet;
   readonly #options: TrafficOptions;
   readonly #batches: OpenBatch[] = [];
-  /** Whose lots are handed in; a scenario may change it. */
+  /** Whose batches are handed in; a scenario may change it. */
   batchQuotas: readonly string[] = quotas;
   #ready: readonly string[] = [];
   #tasks = 0;
@@ -76,7 +76,7 @@
     });
   }
 
-  /** Lots accepted before a time that nobody has read to their end. */
+  /** Batches accepted before a time that nobody has read to their end. */
   unfinished(beforeMs: number): number {
     return this.#batches.filter((batch) => batch.acceptedMs < beforeMs && !batch.done).length;
   }
@@ -92,7 +92,7 @@
     return { name, proxy: this.#fleet.host(name).process?.proxy };
   }
 
-  /** The shard that keeps an accepted lot, by the name its caller gave it. */
+  /** The shard that keeps an accepted batch, by the name its caller gave it. */
   shardOf(name: string): string {
     const batch = this.#batches.find((open) => open.key === name)?.batch;
     return shardOf('lots', batch ?? name, this.#options.batchShards);
@@ -167,7 +167,7 @@
     if (quota === undefined) return;
     const service = number % 3 === 0 ? 'sheet' : 'tag';
     const ends = number % this.#options.endOneOf === 0;
-    // A lot that is ended must be too long to have started whole by then.
+    // A batch that is ended must be too long to have started whole by then.
     const length = ends ? Math.max(endedItems, this.#options.itemsPerBatch) : this.#options.itemsPerBatch;
     const ids = Array.from({ length }, (_, position) => `item-${position}`);
     const wrong = number % wrongOneOf === 3;
@@ -178,7 +178,7 @@
     if (number % reusedOneOf === 1) await this.#handUntilTold(`${key}-other`, key, quota, service, ids, 0);
   }
 
-  /** Hands a lot in, again under its key until it is told what became of it, as a careful caller would. */
+  /** Hands a batch in, again under its key until it is told what became of it, as a careful caller would. */
   async #handUntilTold(
     name: string,
     key: string,
