--- a/testing/simulator/src/simulation/simFleet.ts
+++ b/testing/simulator/src/simulation/simFleet.ts
@@ -1,44 +1,20 @@
 import * as v from 'valibot';
-import { Agent, Replica } from '@pewterlanding/agent';
-import { Controller, OperatorApi } from '@pewterlanding/controller';
-import { FrontProxy } from '@pewterlanding/proxy';
+import { Replica } from '@pewterlanding/agent';
+import type { FrontProxy } from '@pewterlanding/proxy';
 import type { ItemTransport } from '@pewterlanding/proxy';
-import { Membership } from '@pewterlanding/membership';
-import type { NodeRecord } from '@pewterlanding/membership';
-import { Address, NodeName, ZoneName } from '@pewterlanding/model';
-import { Counters, quietLog, seededRandom } from '@pewterlanding/runtime';
-import type { Log } from '@pewterlanding/runtime';
-import { BatchStore } from '@pewterlanding/store';
+import { Address, ZoneName } from '@pewterlanding/model';
+import { Counters, seededRandom } from '@pewterlanding/runtime';
 import { SimulationError } from '../errors/index.js';
 import type { HistoryEvent } from '../history/index.js';
-import { Instance, SimClock, SimMachine, SimTime } from '../engine/index.js';
+import { Instance, SimMachine, SimTime } from '../engine/index.js';
 import { SimDisk } from '../disk/index.js';
-import { SimNet, SimTransport } from '../network/index.js';
+import { SimNet } from '../network/index.js';
 import type { SimReplica } from './simReplica.js';
-import { SimReplicaTransport } from './simReplicaTransport.js';
+import type { SimHost } from './simHost.js';
+import type { SimProcess } from './simProcess.js';
+import { SimProcessStarter } from './simProcessStarter.js';
 
-type Role = 'controller' | 'store' | 'front';
-
-interface Process {
-  instance: Instance;
-  readonly counters: Counters;
-  controller?: Controller;
-  store?: BatchStore;
-  proxy?: FrontProxy;
-  agent?: Agent;
-  operatorApi?: OperatorApi;
-  /** The list that the running program holds; a reload changes it in place. */
-  readonly seeds: Address[];
-}
-
-interface SimHost {
-  readonly role: Role;
-  readonly machine: SimMachine;
-  readonly disk: SimDisk;
-  readonly address: Address;
-  readonly proxyAddress: Address;
-  process: Process | undefined;
-}
+type Role = SimHost['role'];
 
 interface SimFleetOptions {
   readonly seed: number;
@@ -53,8 +29,6 @@
   readonly joining?: { readonly copies: number };
 }
 
-const heartbeatMs = 250;
-const failureTimeoutMs = 1000;
 const zones = ['a', 'b', 'c'];
 
 /** A whole fleet in virtual time, made of the classes that ship. */
@@ -65,21 +39,27 @@
   readonly history: HistoryEvent[] = [];
   readonly hosts = new Map<string, SimHost>();
   readonly replicas = new Map<Address, SimReplica>();
-  readonly #trace: ((line: string) => void) | undefined;
-  readonly #items: ItemTransport | undefined;
-  readonly #joining: SimFleetOptions['joining'];
   /** The seeds as the settings name them now; a running program has those of its start until it reads them again. */
   seeds: readonly Address[];
   /** Where machines join: whether the fleet starts for the very first time. */
   bootstrap = true;
-  #minted = 0;
+  readonly #starter: SimProcessStarter;
 
   constructor(options: SimFleetOptions) {
     this.random = seededRandom(options.seed);
     this.net = new SimNet(this.time, this.random);
-    this.#trace = options.trace;
-    this.#items = options.items;
-    this.#joining = options.joining;
+    this.#starter = new SimProcessStarter({
+      time: this.time,
+      net: this.net,
+      random: this.random,
+      replicas: this.replicas,
+      items: options.items,
+      joining: options.joining,
+      trace: options.trace,
+      bootstrap: () => this.bootstrap,
+      note: (event) => this.note(event),
+      kill: (name) => this.kill(name),
+    });
     this.seeds = [1, 2, 3].map((number) => address(`127.0.20.${number}:7000`));
     for (let number = 1; number <= (options.controllers ?? 3); number += 1)
       this.addHost('controller', `core-${number}`, `127.0.20.${number}`);
@@ -144,11 +124,11 @@
     const host = this.host(name);
     host.machine.powered = true;
     const instance = new Instance();
-    const process: Process = { instance, counters: new Counters(), seeds: [...this.seeds] };
+    const process: SimProcess = { instance, counters: new Counters(), seeds: [...this.seeds] };
     host.process = process;
     host.machine.run(() => {
-      if (host.role === 'front') this.#startFront(host, process);
-      else this.#startStateMachineHost(host, process);
+      if (host.role === 'front') this.#starter.startFront(host, process);
+      else this.#starter.startStateMachineHost(host, process);
     });
   }
 
@@ -226,97 +206,6 @@
     );
     return told.every((one, position) => one === 'taken' || Object.keys(replica.services)[position] === 'ghost');
   }
-
-  #startStateMachineHost(host: SimHost, process: Process): void {
-    const { machine, disk } = host;
-    const { instance, counters } = process;
-    const clock = new SimClock(this.time, machine, instance);
-    const transport = new SimTransport({ here: host.address, machine, instance, clock, counters, net: this.net });
-    const log = this.#log(machine.name);
-    const membership = this.#membership(host, process, host.role === 'controller' ? 'controller' : 'store', clock, transport, log);
-    const bounds = { failureTimeoutMs, compactBytes: 64 << 10 };
-    const shared = {
-      membership,
-      clock,
-      transport,
-      disk: disk.open(instance),
-      bounds,
-      counters,
-      log,
-      fatal: () => this.kill(machine.name),
-      mintMemberId: () => this.#mint(),
-    };
-    if (host.role === 'controller') {
-      const joining = this.#joining === undefined ? {} : { ...this.#joining, bootstrap: this.bootstrap };
-      const controller = new Controller({ ...shared, heartbeatMs, seeds: process.seeds, ...joining });
-      process.controller = controller;
-      process.operatorApi = new OperatorApi({ finder: controller.finder, clock, waitMs: failureTimeoutMs * 15 });
-      controller.start().catch((error: unknown) => {
-        this.#trace?.(`${machine.name} ${String(error)}`);
-        // Unless this instance has ended, the program ends over it, as the shipped one does.
-        if (!instance.dead) this.kill(machine.name);
-      });
-    } else process.store = new BatchStore(shared);
-  }
-
-  #startFront(host: SimHost, process: Process): void {
-    const { machine } = host;
-    const { instance, counters } = process;
-    const clock = new SimClock(this.time, machine, instance);
-    const log = this.#log(machine.name);
-    const transport = new SimTransport({ here: host.address, machine, instance, clock, counters, net: this.net });
-    const membership = this.#membership(host, process, 'agent', clock, transport, log);
-    process.agent = new Agent({ membership, clock, transport, proxy: host.proxyAddress, heartbeatMs, counters, log });
-    const replicas = new SimReplicaTransport({
-      machine,
-      instance,
-      clock,
-      time: this.time,
-      net: this.net,
-      random: this.random,
-      replicas: this.replicas,
-      note: (one) => this.note(one),
-    });
-    process.proxy = new FrontProxy({
-      front: membership.name,
-      instance: this.#mint(),
-      zone: machine.zone,
-      agent: host.address,
-      seeds: process.seeds,
-      clock,
-      transport: new SimTransport({ here: host.proxyAddress, machine, instance, clock, counters, net: this.net }),
-      replicas,
-      items: this.#items,
-      random: this.random,
-      heartbeatMs,
-      failureTimeoutMs,
-      counters,
-      log,
-    });
-  }
-
-  #membership(host: SimHost, process: Process, role: NodeRecord['role'], clock: SimClock, transport: SimTransport, log: Log): Membership {
-    const { seeds, counters } = process;
-    const nodeRecord = {
-      name: v.parse(NodeName, host.machine.name),
-      role,
-      zone: v.parse(ZoneName, host.machine.zone),
-      address: host.address,
-    };
-    return new Membership({ nodeRecord, seeds, clock, transport, bounds: { heartbeatMs, failureTimeoutMs, watchers: 3 }, counters, log });
-  }
-
-  #mint(): string {
-    this.#minted += 1;
-    return `m${this.#minted}`;
-  }
-
-  #log(name: string): Log {
-    const trace = this.#trace;
-    if (trace === undefined) return quietLog;
-    const print = (line: string): void => trace(`${(this.time.nowMs / 1000).toFixed(3)} ${name} ${line}`);
-    return { info: print, warn: print, error: print };
-  }
 }
 
 function address(text: string): Address {
