--- a/testing/simulator/src/runs/campaign.ts
+++ b/testing/simulator/src/runs/campaign.ts
@@ -57,7 +57,7 @@
   for (const line of deployments.lines('days', 'broken')) print(line);
   print('by rule');
   for (const line of rules.lines('judged', 'broken')) print(line);
-  print('by kind of trouble');
+  print('by kind of fault');
   for (const line of kinds.lines('played', 'on a broken day')) print(line);
   return broken === 0;
 }
