--- a/testing/simulator/src/sim/simDisk.ts
+++ b/testing/simulator/src/disk/simDisk.ts
@@ -1,6 +1,5 @@
 import type { Disk } from '@pewterlanding/runtime';
-import type { Instance } from './instance.js';
-import type { SimTime } from './simTime.js';
+import type { Instance, SimTime } from '../engine/index.js';
 
 /** A change of the files that has not been synced yet. */
 interface Change {
@@ -73,7 +72,7 @@
     return this.#files.get(file)?.length ?? 0;
   }
 
-  /** The disk as one life of a process has it. */
+  /** The disk as one instance of a process has it. */
   open(instance: Instance): Disk {
     return {
       read: async (file) => this.#files.get(file)?.slice(),
--- a/testing/simulator/src/real/fleet.ts
+++ b/testing/simulator/src/fleet/fleet.ts
@@ -7,10 +7,11 @@
 import { StandInReplica } from '@pewterlanding/stand-ins';
 import type { RunRecord } from '@pewterlanding/stand-ins';
 import { views } from '@pewterlanding/pewterctl';
+import { HarnessError } from '../errors/index.js';
 import { Daemon } from './daemon.js';
 import type { Deployment } from './deployment.js';
 import { Links } from './links.js';
-import { until } from './until.js';
+import { pollUntil } from './pollUntil.js';
 
 interface FleetOptions {
   readonly deployment: Deployment;
@@ -71,14 +72,14 @@
 
   daemon(key: string): Daemon {
     const daemon = this.daemons.get(key);
-    if (daemon === undefined) throw new Error(`no process ${key}`);
+    if (daemon === undefined) throw new HarnessError(`no process ${key}`);
     return daemon;
   }
 
   /** The IP number of a machine. */
   hostOf(machine: string): string {
     const bootSettings = this.#boots.get(machine) ?? this.#boots.get(`${machine}.agent`);
-    if (bootSettings === undefined) throw new Error(`no machine ${machine}`);
+    if (bootSettings === undefined) throw new HarnessError(`no machine ${machine}`);
     return addressParts(bootSettings.listen).host;
   }
 
@@ -87,35 +88,35 @@
     await mkdir(this.#options.folder, { recursive: true });
     await this.#relayAll();
     for (const daemon of this.daemons.values()) daemon.start();
-    await until('the controller serves', async () => (await this.controller('GET', '/ready')).status === 200, 30_000);
+    await pollUntil('the controller serves', async () => (await this.controller('GET', '/ready')).status === 200, 30_000);
   }
 
-  /** Once a setup is in force: waits for the fronts, and starts the replicas until every front knows them. */
+  /** Once a configuration is in force: waits for the fronts, and starts the replicas until every front knows them. */
   async open(): Promise<void> {
     await this.ready(30_000);
     for (const replica of this.replicas) await replica.start();
     const services = this.#options.deployment.replicas.reduce((sum, replica) => sum + Object.keys(replica.services).length, 0);
     const all = async (): Promise<boolean> =>
       (await Promise.all(this.fronts().map((front) => this.known(front)))).every((known) => known === services);
-    await until('replicas are known to all', all, 15_000);
+    await pollUntil('replicas are known to all', all, 15_000);
   }
 
-  async ready(patienceMs: number): Promise<void> {
+  async ready(timeoutMs: number): Promise<void> {
     const all = async (): Promise<boolean> =>
       (await Promise.all(this.fronts().map((front) => ask('GET', front, '/ready')))).every((response) => response.status === 200);
-    await until('every front is ready', all, patienceMs);
+    await pollUntil('every front is ready', all, timeoutMs);
   }
 
   /** Waits until the process at this boot serves: one that is told to end while it is still being loaded dies of the signal. */
-  async serves(key: string, patienceMs: number): Promise<void> {
+  async serves(key: string, timeoutMs: number): Promise<void> {
     const http = this.#boots.get(key)?.http;
-    if (http === undefined) throw new Error(`no HTTP at ${key}`);
+    if (http === undefined) throw new HarnessError(`no HTTP at ${key}`);
     const up = (): Promise<boolean> =>
       ask('GET', http, '/status').then(
         (response) => response.status === 200,
         () => false,
       );
-    await until(`${key} serves`, up, patienceMs);
+    await pollUntil(`${key} serves`, up, timeoutMs);
   }
 
   /** Starts an empty machine of a kind, under the next free name and address. */
@@ -123,7 +124,7 @@
     const numbers = [...this.#boots.keys()].filter((key) => key.startsWith(`${kind}-`)).map((key) => Number(key.slice(kind.length + 1)));
     const number = Math.max(...numbers) + 1;
     const like = this.#boots.get(`${kind}-1`) ?? [...this.#boots.values()].find((bootSettings) => bootSettings.name.startsWith(`${kind}-`));
-    if (like === undefined) throw new Error(`no ${kind} to do as`);
+    if (like === undefined) throw new HarnessError(`no ${kind} to do as`);
     const name = `${kind}-${number}`;
     const moved = (address: Address | undefined) =>
       address === undefined ? undefined : v.parse(Address, address.replace(/\.\d+:/, `.${number}:`));
@@ -148,7 +149,7 @@
     this.#programs.delete(machine);
   }
 
-  /** Whether any part has a seat on a machine, as the leaders tell it. */
+  /** Whether any part has a group member on a machine, as the leaders tell it. */
   async sits(machine: string): Promise<boolean> {
     const read = check(views.shards, (await this.controller('GET', '/v1/shards')).body);
     if (!read.ok) return true;
@@ -164,7 +165,7 @@
   async confirm(proposal: unknown, acknowledged = false): Promise<number | undefined> {
     const plan = await this.controller('POST', '/v1/plans', proposal);
     const id = check(v.object({ id: v.string() }), plan.body);
-    if (!id.ok) throw new Error(`no plan: ${JSON.stringify(plan)}`);
+    if (!id.ok) throw new HarnessError(`no plan: ${JSON.stringify(plan)}`);
     const response = await this.controller('POST', `/v1/plans/${id.value.id}/confirm`, { acknowledged });
     const read = check(v.object({ version: v.number() }), response.body);
     return response.status === 200 && read.ok ? read.value.version : undefined;
@@ -182,7 +183,7 @@
         last = error;
       }
     }
-    throw new Error(`no controller machine returns: ${JSON.stringify(last)}`);
+    throw new HarnessError(`no controller machine returns: ${JSON.stringify(last)}`);
   }
 
   async known(front: Address): Promise<number> {
@@ -223,7 +224,7 @@
 
   #add(program: Program, key: string): void {
     const bootSettings = this.#boots.get(key);
-    if (bootSettings === undefined) throw new Error(`no boot ${key}`);
+    if (bootSettings === undefined) throw new HarnessError(`no boot ${key}`);
     const { seeds, dataFolder, ...plain } = bootSettings;
     const folder = dataFolder === undefined ? {} : { dataFolder: this.dataFolder(bootSettings.name) };
     const flags = Object.entries({ ...plain, seeds: seeds.join(','), ...folder });
--- a/testing/simulator/src/real/drive.ts
+++ b/testing/simulator/src/fleet/loadGenerator.ts
@@ -3,9 +3,10 @@
 import { Caller } from '@pewterlanding/stand-ins';
 import type { ToldRecord } from '@pewterlanding/stand-ins';
 import type { Address } from '@pewterlanding/model';
+import { HarnessError } from '../errors/index.js';
 import type { Deployment } from './deployment.js';
 import type { Fleet } from './fleet.js';
-import type { HistoryEvent } from '../history/historyEvent.js';
+import type { HistoryEvent } from '../history/index.js';
 
 type Traffic = Deployment['traffic'][number];
 
@@ -33,7 +34,7 @@
 const pollMs = 1000;
 const readMs = 500;
 const strayMs = 1000;
-/** One of so many lots must be refused, one is ended soon, one key is used again for another lot. */
+/** One of so many batches must be refused, one is ended soon, one key is used again for another batch. */
 const wrongOneOf = 7;
 const endedOneOf = 5;
 const reusedOneOf = 9;
@@ -41,7 +42,7 @@
 const final = new Set([400, 403, 404, 409, 413, 422]);
 
 /** The brief's traffic against a real fleet, at the brief's rates, spread over ready fronts as the platform would. */
-export class Drive {
+export class LoadGenerator {
   readonly #options: DriveOptions;
   readonly #caller: Caller;
   readonly #batches: OpenBatch[] = [];
@@ -60,7 +61,7 @@
 
   start(): void {
     this.#timers.push(setInterval(() => void this.#poll(), pollMs));
-    // Somebody asks for what no setup ever allowed, and somebody announces it.
+    // Somebody asks for what no configuration ever allowed, and somebody announces it.
     this.#timers.push(setInterval(() => this.#stray(), strayMs));
     this.#reading = setInterval(() => this.#batches.forEach((batch) => void this.#read(batch)), readMs);
     for (const traffic of this.#options.traffic) {
@@ -81,12 +82,12 @@
     return this.#caller.close();
   }
 
-  /** Whose lot an item's key belongs to. */
+  /** Whose batch an item's key belongs to. */
   quotaOf(key: string): string | undefined {
     return this.#quotas.get(key.split('/')[0] ?? '');
   }
 
-  /** Hands in one lot, again under its key until it is told what became of it. */
+  /** Hands in one batch, again under its key until it is told what became of it. */
   async hand(traffic: Traffic, items = traffic.batchItems ?? 1, quota = this.#pick(traffic.quotas)): Promise<void> {
     this.#handed += 1;
     const number = this.#handed;
@@ -98,7 +99,7 @@
     if (number % reusedOneOf === 1) await this.#handUntilTold(`${key}other`, key, traffic, items, quota, traffic.padBytes);
   }
 
-  /** Ends every lot that is not done; how many were. */
+  /** Ends every batch that is not done; how many were. */
   async endAll(): Promise<number> {
     const open = this.#batches.filter((batch) => batch.readsLeft > 0);
     await Promise.all(open.map((batch) => this.#end(batch.key, batch.path)));
@@ -151,7 +152,7 @@
     for (const id of ids) {
       note({ type: 'sent', atMs: Date.now(), key: `${name}/${id}`, service, idempotent: idempotent.has(service), kind: 'batch', quota });
     }
-    // One item that is too dear is enough for the whole lot to be refused.
+    // One item that is too dear is enough for the whole batch to be refused.
     const padOf = (position: number): number => (position === 0 ? pad : traffic.padBytes);
     const granted = ids.map((id, position) => ({ id, input: { key: `${name}/${id}`, pad: 'x'.repeat(padOf(position)) } }));
     const body = JSON.stringify({ service, items: granted });
@@ -219,7 +220,7 @@
 
   #pick<T>(all: readonly T[]): T {
     const one = all[Math.floor(this.#options.random() * all.length)];
-    if (one === undefined) throw new Error('nothing to pick from');
+    if (one === undefined) throw new HarnessError('nothing to pick from');
     return one;
   }
 }
--- a/testing/simulator/src/real/operator.ts
+++ b/testing/simulator/src/fleet/operator.ts
@@ -1,11 +1,12 @@
 import * as v from 'valibot';
 import { check, configurationFormat1, mergePatch, renameFields } from '@pewterlanding/model';
 import { views } from '@pewterlanding/pewterctl';
-import type { HistoryEvent } from '../history/historyEvent.js';
+import { HarnessError } from '../errors/index.js';
+import type { HistoryEvent } from '../history/index.js';
 import type { Fleet } from './fleet.js';
 
 const Named = v.record(v.string(), v.unknown());
-/** What of a setup its callers would notice. */
+/** What of a configuration its callers would notice. */
 const Allowed = v.object({ services: Named, quotas: Named, bounds: v.optional(v.object({ maxItems: v.optional(v.number()) }), {}) });
 
 /** An operator of a real fleet, who writes down what was planned, confirmed, refused and read back. */
@@ -20,24 +21,24 @@
 
   async configuration(): Promise<Record<string, unknown>> {
     const read = check(views.configuration, (await this.#fleet.controller('GET', '/v1/configuration')).body);
-    if (!read.ok) throw new Error('the configuration cannot be read');
+    if (!read.ok) throw new HarnessError('the configuration cannot be read');
     return read.value.configuration ?? {};
   }
 
-  /** Plans a shard of a setup and confirms it; the version in force, or undefined when it was refused or nothing is known. */
+  /** Plans a part of a configuration and confirms it; the version in force, or undefined when it was refused or nothing is known. */
   async change(part: Record<string, unknown>): Promise<number | undefined> {
     const before = await this.configuration();
     const made = await this.#fleet.controller('POST', '/v1/plans', { part });
     const plan = check(views.plan, made.body);
-    if (!plan.ok) throw new Error(`no plan: ${JSON.stringify(made)}`);
+    if (!plan.ok) throw new HarnessError(`no plan: ${JSON.stringify(made)}`);
     return this.#confirm(plan.value, mergePatch(before, renameFields(part, configurationFormat1)));
   }
 
-  /** The first setup of a fleet, whole. */
+  /** The first configuration of a fleet, whole. */
   async first(whole: Readonly<Record<string, unknown>>): Promise<number | undefined> {
     const made = await this.#fleet.controller('POST', '/v1/plans', { whole });
     const plan = check(views.plan, made.body);
-    if (!plan.ok) throw new Error(`no plan: ${JSON.stringify(made)}`);
+    if (!plan.ok) throw new HarnessError(`no plan: ${JSON.stringify(made)}`);
     return this.#confirm(plan.value, whole);
   }
 
--- a/testing/simulator/src/hollow/hollowWorker.ts
+++ b/testing/simulator/src/hollow/hollowWorker.ts
@@ -4,17 +4,18 @@
 import { errorLine } from '@pewterlanding/runtime';
 import type { Address, NodeName } from '@pewterlanding/model';
 import { monitorEventLoopDelay } from 'node:perf_hooks';
+import { HarnessError } from '../errors/index.js';
 import { HollowNode } from './hollowNode.js';
 import type { HollowOptions } from './hollowOptions.js';
-import { HollowOrder } from './hollowOrder.js';
+import { HollowRequest } from './hollowRequest.js';
 import type { HollowPlace } from './hollowPlace.js';
 import { hollowPlaces } from './hollowPlaces.js';
 import { hollowConfiguration } from './hollowConfiguration.js';
-import type { HollowWord } from './hollowWord.js';
+import type { HollowResponse } from './hollowResponse.js';
 import { monotonicMs } from './monotonicMs.js';
 import { SocketMeter } from './socketMeter.js';
 
-const Envelope = v.strictObject({ id: v.number(), order: HollowOrder });
+const Envelope = v.strictObject({ id: v.number(), order: HollowRequest });
 
 const startGapMs = 40;
 const meter = new SocketMeter();
@@ -31,7 +32,7 @@
 
 function start(name: NodeName): HollowNode {
   const place = places.find((one) => one.name === name);
-  if (place === undefined || here === undefined) throw new Error(`no node ${name}`);
+  if (place === undefined || here === undefined) throw new HarnessError(`no node ${name}`);
   const node = new HollowNode({
     place,
     options: here,
@@ -59,7 +60,7 @@
   nodes.delete(name);
 }
 
-async function obey(order: HollowOrder): Promise<HollowWord> {
+async function obey(order: HollowRequest): Promise<HollowResponse> {
   switch (order.kind) {
     case 'begin': {
       here = order.options;
@@ -111,20 +112,20 @@
   }
 }
 
-async function confirm(outputTokens: number): Promise<HollowWord> {
+async function confirm(outputTokens: number): Promise<HollowResponse> {
   const operatorApi = [...nodes.values()].find((node) => node.operatorApi !== undefined)?.operatorApi;
-  if (operatorApi === undefined) throw new Error('no controller here');
+  if (operatorApi === undefined) throw new HarnessError('no controller here');
   plans += 1;
   const id = v.parse(PlanId, `plan-${plans}`);
   const atMs = monotonicMs();
   const made = await operatorApi.plan(id, v.parse(Proposal, { whole: hollowConfiguration(places, outputTokens) }));
-  if (made.plan === undefined) throw new Error(made.findings.map((one) => `${one.place} ${one.message}`).join('; '));
+  if (made.plan === undefined) throw new HarnessError(made.findings.map((one) => `${one.place} ${one.message}`).join('; '));
   const { outcome, inForce } = await operatorApi.confirm(id, true);
-  if (outcome.outcome !== 'confirmed' || !inForce) throw new Error(`${outcome.outcome}, in force: ${String(inForce)}`);
+  if (outcome.outcome !== 'confirmed' || !inForce) throw new HarnessError(`${outcome.outcome}, in force: ${String(inForce)}`);
   return { atMs, counts: { version: outcome.version, tookMs: monotonicMs() - atMs } };
 }
 
-function measure(): HollowWord {
+function measure(): HollowResponse {
   const all = new Map(counts);
   const roles = new Map(places.map((one) => [addressParts(one.address).host, one.role]));
   for (const [host, tally] of meter.tally())
@@ -154,7 +155,7 @@
 process.on('message', (message) => {
   const { id, order } = v.parse(Envelope, message);
   obey(order)
-    .catch((error: unknown): HollowWord => ({ failed: errorLine(error) }))
+    .catch((error: unknown): HollowResponse => ({ failed: errorLine(error) }))
     .then((word) => process.send?.({ id, word }))
     .catch(() => process.exit(1));
 });
--- a/testing/simulator/src/model/exploredGroup.ts
+++ b/testing/simulator/src/model/exploredGroup.ts
@@ -3,21 +3,22 @@
 import type { GroupMember } from '@pewterlanding/consensus';
 import type { ConfigurationChange } from '@pewterlanding/controller';
 import { Address, NodeName } from '@pewterlanding/model';
-import { SimDisk } from '../sim/simDisk.js';
-import { SimTime } from '../sim/simTime.js';
+import { SimulationError } from '../errors/index.js';
+import { SimDisk } from '../disk/index.js';
+import { SimTime } from '../engine/index.js';
 import { changeOf } from './changeOf.js';
 import type { ExplorationScope } from './explorationScope.js';
 import type { ExploredAction } from './exploredAction.js';
 import { ExploredProcess } from './exploredProcess.js';
-import { HeldNet } from './heldNet.js';
-import { HeldTime } from './heldTime.js';
+import { ManualNet } from './manualNet.js';
+import { ManualTime } from './manualTime.js';
 import { Invariants } from './invariants.js';
 import { modelBounds } from './modelBounds.js';
 
 interface Machine {
   readonly name: NodeName;
   readonly address: Address;
-  readonly syncs: HeldTime;
+  readonly syncs: ManualTime;
   readonly disk: SimDisk;
   process: ExploredProcess;
   /** All that happened here, in its order: what the machine holds and has sent follows from it alone. */
@@ -34,7 +35,7 @@
   readonly invariants = new Invariants();
   readonly #scope: ExplorationScope;
   readonly #time = new SimTime();
-  readonly #net = new HeldNet();
+  readonly #net = new ManualNet();
   readonly #machines: readonly Machine[];
   /** Changes whose operator was told that they were taken. */
   readonly #confirmed: ConfigurationChange[] = [];
@@ -50,7 +51,7 @@
     this.#machines = numbers.map((number) => {
       const name = v.parse(NodeName, `core-${number}`);
       const address = v.parse(Address, `127.0.20.${number}:7000`);
-      const syncs = new HeldTime();
+      const syncs = new ManualTime();
       // What was not synced is lost whole.
       const disk = new SimDisk(syncs, () => 0);
       return { name, address, syncs, disk, process: this.#begin(name, address, disk), past: '' };
@@ -137,7 +138,7 @@
 
   #at(number: number): Machine {
     const machine = this.#machines[number - 1];
-    if (machine === undefined) throw new Error(`no machine ${number}`);
+    if (machine === undefined) throw new SimulationError(`no machine ${number}`);
     return machine;
   }
 
@@ -145,7 +146,7 @@
     if (action.kind !== 'deliver') return { at: this.#at(action.machine), what: action.kind };
     const next = this.#net.next(action.channel);
     const at = this.#machines.find(({ address }) => address === next?.at);
-    if (next === undefined || at === undefined) throw new Error(`nothing to deliver on ${action.channel}`);
+    if (next === undefined || at === undefined) throw new SimulationError(`nothing to deliver on ${action.channel}`);
     return { at, what: `${action.channel} ${next.print}` };
   }
 
@@ -227,7 +228,7 @@
   async #drained(): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
     for (const { process } of this.#machines) this.invariants.look(process);
-    if (this.invariants.violations.length > 0) throw new Error(this.invariants.violations.join('\n'));
+    if (this.invariants.violations.length > 0) throw new SimulationError(this.invariants.violations.join('\n'));
   }
 
   #serves(): boolean {
--- a/testing/simulator/src/model/heldNet.ts
+++ b/testing/simulator/src/model/manualNet.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import type { Address } from '@pewterlanding/model';
-import type { Instance } from '../sim/instance.js';
-import { SimNet } from '../sim/simNet.js';
-import { SimTime } from '../sim/simTime.js';
+import type { Instance } from '../engine/index.js';
+import { SimNet } from '../network/index.js';
+import { SimTime } from '../engine/index.js';
 import { ReplyAddresses } from './replyAddresses.js';
 
 type Sent = Parameters<SimNet['send']>;
@@ -20,7 +20,7 @@
 }
 
 /** A network that delivers nothing by itself: each message waits, in its order between two ends, until it is chosen. */
-export class HeldNet extends SimNet {
+export class ManualNet extends SimNet {
   readonly #listeners = new Map<Address, Listener>();
   readonly #channels = new Map<string, Held[]>();
   readonly #replies = new ReplyAddresses();
--- a/testing/simulator/src/model/modelCluster.ts
+++ b/testing/simulator/src/model/modelCluster.ts
@@ -3,9 +3,9 @@
 import { quietLog, seededRandom } from '@pewterlanding/runtime';
 import type { Log } from '@pewterlanding/runtime';
 import type { Placement } from '@pewterlanding/controller';
-import { SimDisk } from '../sim/simDisk.js';
-import { SimMachine } from '../sim/simMachine.js';
-import { SimTime } from '../sim/simTime.js';
+import { SimulationError } from '../errors/index.js';
+import { SimDisk } from '../disk/index.js';
+import { SimMachine, SimTime } from '../engine/index.js';
 import { Invariants } from './invariants.js';
 import { linearize } from './linearize.js';
 import { modelBounds } from './modelBounds.js';
@@ -200,7 +200,7 @@
       machine.memberId = node.member.self.memberId;
       machine.group = node.member.group();
     }
-    if (this.invariants.violations.length > 0) throw new Error(this.invariants.violations.join('\n'));
+    if (this.invariants.violations.length > 0) throw new SimulationError(this.invariants.violations.join('\n'));
   }
 
   /** A replaced machine is switched off a while after it left the group. */
@@ -312,7 +312,7 @@
 
   #log(name: string): Log {
     if (this.#trace === undefined) return quietLog;
-    const say = (line: string): void => this.note(`${name} ${line}`);
-    return { info: say, warn: say, error: say };
+    const print = (line: string): void => this.note(`${name} ${line}`);
+    return { info: print, warn: print, error: print };
   }
 }
--- a/testing/simulator/src/model/modelMachine.ts
+++ b/testing/simulator/src/model/modelMachine.ts
@@ -1,7 +1,7 @@
 import type { GroupMember } from '@pewterlanding/consensus';
 import type { Address, NodeName } from '@pewterlanding/model';
-import type { SimDisk } from '../sim/simDisk.js';
-import type { SimMachine } from '../sim/simMachine.js';
+import type { SimDisk } from '../disk/index.js';
+import type { SimMachine } from '../engine/index.js';
 import type { ModelNode } from './modelNode.js';
 import type { WriteTrap } from './writeTrap.js';
 
@@ -18,7 +18,7 @@
   retired: boolean;
   /** It left the group for another, and will be switched off. */
   replaced: boolean;
-  /** Its process was told to end politely. */
+  /** Its process was told to end gracefully. */
   leaving: boolean;
   /** The group that its member's log was last seen to name. */
   group: readonly GroupMember[];
--- a/testing/simulator/src/mutation/runMutations.ts
+++ b/testing/simulator/src/mutation/runMutations.ts
@@ -3,6 +3,7 @@
 import { join } from 'node:path';
 import * as v from 'valibot';
 import { errorLine } from '@pewterlanding/runtime';
+import { HarnessError } from '../errors/index.js';
 import type { Mutation } from './mutation.js';
 import { ScratchTree } from './scratchTree.js';
 
@@ -11,10 +12,10 @@
 
 interface Outcome {
   readonly mutation: Mutation;
-  /** Seeds under which the rule was broken with the guard out, and those of them that the untouched tree kept, having judged it. */
+  /** Seeds under which the rule was broken with the safeguard removed, and those of them that the untouched tree kept, having judged it. */
   readonly red: readonly number[];
   readonly green: readonly number[];
-  readonly held: boolean;
+  readonly detected: boolean;
 }
 
 /** Runs a scenario as a process of its own, in a tree. */
@@ -31,7 +32,7 @@
     child.stderr.on('data', (chunk: Buffer) => (wrong += chunk.toString()));
     const code = await new Promise<number>((resolve) => child.once('close', (ended) => resolve(ended ?? -1)));
     const read = v.safeParse(v.pipe(v.string(), v.parseJson(), Verdicts), text);
-    if (!read.success) throw new Error(`${scenario} under seed ${seed} ended with ${code}: ${wrong.slice(0, 500)}`);
+    if (!read.success) throw new HarnessError(`${scenario} under seed ${seed} ended with ${code}: ${wrong.slice(0, 500)}`);
     all.push(...read.output);
   }
   return all;
@@ -49,7 +50,7 @@
     child.stdout.on('data', (chunk: Buffer) => (text += chunk.toString()));
     const code = await new Promise<number>((resolve) => child.once('close', (ended) => resolve(ended ?? -1)));
     const broken = text.includes('Property failed after') || text.includes("name: 'AssertionError'");
-    if (code !== 0 && !broken) throw new Error(`${file} under seed ${seed} ended with ${code}: ${text.slice(0, 500)}`);
+    if (code !== 0 && !broken) throw new HarnessError(`${file} under seed ${seed} ended with ${code}: ${text.slice(0, 500)}`);
     all.push({ seed, rule, judged: 1, broken: broken ? 1 : 0 });
   }
   return all;
@@ -59,20 +60,24 @@
   return scenario.endsWith('.test.js') ? propertyVerdicts(tree, scenario, rule, seeds) : verdictsOf(tree, scenario, seeds);
 }
 
-/** Takes each guard out in a copy of the built tree and runs its scenario: red without it, green with it, under the same seeds. */
-export async function runMutations(root: string, mutations: readonly Mutation[], say: (line: string) => void): Promise<readonly Outcome[]> {
+/** Takes each safeguard out in a copy of the built tree and runs its scenario: red without it, green with it, under the same seeds. */
+export async function runMutations(
+  root: string,
+  mutations: readonly Mutation[],
+  print: (line: string) => void,
+): Promise<readonly Outcome[]> {
   const outcomes: Outcome[] = [];
   const queue = [...mutations];
   const work = async (): Promise<void> => {
     for (let mutation = queue.shift(); mutation !== undefined; mutation = queue.shift()) {
       const outcome = await runOne(root, mutation).catch((error: unknown) => {
         // A run that comes to no verdicts shows nothing.
-        say(`${mutation.name}: ${errorLine(error)}`);
-        return { mutation, red: [], green: [], held: false };
+        print(`${mutation.name}: ${errorLine(error)}`);
+        return { mutation, red: [], green: [], detected: false };
       });
       outcomes.push(outcome);
-      const { red, green, held } = outcome;
-      say(`${held ? 'holds    ' : 'NOT SHOWN'} ${mutation.name}: red ${named(red)}, green ${named(green)} (${mutation.scenario})`);
+      const { red, green, detected } = outcome;
+      print(`${detected ? 'holds    ' : 'NOT SHOWN'} ${mutation.name}: red ${named(red)}, green ${named(green)} (${mutation.scenario})`);
     }
   };
   await Promise.all(Array.from({ length: Math.max(1, Math.min(6, availableParallelism() - 1)) }, work));
@@ -84,13 +89,13 @@
 async function runOne(root: string, mutation: Mutation): Promise<Outcome> {
   const tree = await ScratchTree.copy(root);
   try {
-    await tree.takeOut(mutation);
+    await tree.apply(mutation);
     const without = await verdictsIn(tree.folder, mutation);
     const within = await verdictsIn(root, mutation);
     const red = without.filter((one) => one.rule === mutation.rule && one.broken > 0).map((one) => one.seed);
     const green = within.filter((one) => one.rule === mutation.rule && one.broken === 0 && one.judged > 0).map((one) => one.seed);
-    // Every named seed is green with the guard in; every one is red without it.
-    return { mutation, red, green, held: red.length === mutation.seeds.length && green.length === mutation.seeds.length };
+    // Every named seed is green with the safeguard in; every one is red without it.
+    return { mutation, red, green, detected: red.length === mutation.seeds.length && green.length === mutation.seeds.length };
   } finally {
     await tree.remove();
   }
--- a/testing/simulator/src/sim/scenario.ts
+++ b/testing/simulator/src/scenarios/scenario.ts
@@ -1,4 +1,4 @@
-import type { SimRun } from './simRun.js';
+import type { SimRun } from '../simulation/index.js';
 
 /** One failure of the brief, brought about on purpose: what it needs of the fleet, and what happens on it. */
 export interface Scenario {
@@ -14,9 +14,9 @@
     readonly tolerance?: number;
     readonly joining?: { readonly copies: number };
   };
-  /** How long a lot may not be readable, where the brief's second is meant. */
+  /** How long a batch may not be readable, where the brief's second is meant. */
   readonly takeoverMs?: number;
   /** How long an accepted batch item may take to its first start, where the scenario bounds it. */
   readonly itemStartMs?: number;
-  readonly act: (run: SimRun) => Promise<void>;
+  readonly run: (run: SimRun) => Promise<void>;
 }
--- a/testing/simulator/src/sim/simOperators.ts
+++ b/testing/simulator/src/simulation/simOperators.ts
@@ -1,6 +1,6 @@
 import type { ChangeOutcome, OperatorApi, ConfigurationChange } from '@pewterlanding/controller';
 import { simService } from './simService.js';
-import type { SimRun } from './simRun.js';
+import type { SimEnvironment } from './simEnvironment.js';
 
 interface OrderOptions {
   /** The controller that it is sent to first; drawn where it is left out. */
@@ -24,41 +24,41 @@
 
 /** Operators that put changes in force in one call, and send the same order again, to another controller, until they hear of it. */
 export class SimOperators {
-  readonly #run: SimRun;
+  readonly #environment: SimEnvironment;
   /** Every order that was sent, oldest first. */
   readonly #sent: ConfigurationChange[] = [];
   #orders = 0;
   #stopped = false;
 
-  constructor(run: SimRun) {
-    this.#run = run;
+  constructor(environment: SimEnvironment) {
+    this.#environment = environment;
   }
 
   /** Sends an order until an acknowledgement arrives; what the operator then knows. */
-  async order(options: OrderOptions = {}): Promise<Verdict> {
+  async sendChange(options: OrderOptions = {}): Promise<Verdict> {
     const basedOn = options.basedOn ?? (await this.revision());
     if (basedOn === undefined) return 'unclear';
     return this.#send(this.#change(basedOn, basedOn + (options.ahead ?? 1)), options);
   }
 
   /** Several operators at once, each at a controller of its own, on one version; each number as far ahead of it as said. */
-  async race(ahead: readonly number[], lossRatio = 0): Promise<readonly Verdict[]> {
+  async sendConcurrently(ahead: readonly number[], lossRatio = 0): Promise<readonly Verdict[]> {
     const basedOn = await this.revision();
     if (basedOn === undefined) return [];
-    const controllers = this.#run.machines('controller');
+    const controllers = this.#environment.machines('controller');
     const all = ahead.map((step, position) =>
-      this.order({ basedOn, ahead: step, lossRatio, at: controllers[position % controllers.length] }),
+      this.sendChange({ basedOn, ahead: step, lossRatio, at: controllers[position % controllers.length] }),
     );
     return Promise.all(all);
   }
 
   /** From now on an operator sends an order every so often, until it is stopped. Now and then it sends old ones again. */
-  keepOn(everyMs: number, lossRatio: number): void {
-    this.#run.later(everyMs, () => {
+  sendPeriodically(everyMs: number, lossRatio: number): void {
+    this.#environment.schedule(everyMs, () => {
       if (this.#stopped) return;
-      const again = this.#run.fleet.random() < againRatio;
-      void (again ? this.repeatAll(1) : this.order({ lossRatio }));
-      this.keepOn(everyMs, lossRatio);
+      const again = this.#environment.fleet.random() < againRatio;
+      void (again ? this.resendOldestAndNewest(1) : this.sendChange({ lossRatio }));
+      this.sendPeriodically(everyMs, lossRatio);
     });
   }
 
@@ -67,13 +67,13 @@
   }
 
   /** Sends so many of the oldest orders, and as many of the newest, once more as they were. */
-  async repeatAll(limit: number): Promise<void> {
+  async resendOldestAndNewest(limit: number): Promise<void> {
     const chosen = new Set([...this.#sent.slice(0, limit), ...this.#sent.slice(-limit)]);
     for (const change of chosen) await this.#send(change, {});
   }
 
   /** Orders that must not be taken: on an old version, on one that never was, under a number that is used, and cut short. */
-  async wrongOrders(): Promise<void> {
+  async sendInvalidChanges(): Promise<void> {
     const revision = await this.revision();
     if (revision === undefined) return;
     const good = this.#change(revision, revision + 1);
@@ -88,14 +88,14 @@
 
   /** The operator's number in force, read at any controller. */
   async revision(): Promise<number | undefined> {
-    const read = await this.#patiently(this.#operatorApi(undefined, undefined)?.operatorApi.configuration(ackMs));
+    const read = await this.#withTimeout(this.#operatorApi(undefined, undefined)?.operatorApi.configuration(ackMs));
     return read === undefined ? undefined : (read.configuration?.revision ?? 0);
   }
 
   /** A change of one service that callers do not notice, unlike any other. */
   #change(basedOn: number, revision: number): ConfigurationChange {
     this.#orders += 1;
-    const sheet = { ...simService('whole', false, this.#run.hosts), runMs: 8000 + this.#orders };
+    const sheet = { ...simService('whole', false, this.#environment.hosts), runMs: 8000 + this.#orders };
     const drop = { routes: [], services: [] };
     return { basedOn, revision, hash: `order-${this.#orders}`, change: { kind: 'items', routes: {}, services: { sheet }, drop } };
   }
@@ -104,7 +104,7 @@
     change: ConfigurationChange,
     options: Pick<OrderOptions, 'at' | 'lossRatio'> & { readonly wrong?: boolean },
   ): Promise<Verdict> {
-    const { fleet } = this.#run;
+    const { fleet } = this.#environment;
     const order = `${change.revision}/${change.hash}`;
     const { basedOn, revision } = change;
     if (!this.#sent.includes(change)) {
@@ -115,32 +115,32 @@
     for (let sends = 0; sends < maxSends; sends += 1) {
       const to = this.#operatorApi(sends === 0 ? options.at : undefined, last);
       last = to?.name;
-      const outcome = await this.#patiently(to?.operatorApi.set(change, ackMs).then((response) => response.outcome));
+      const outcome = await this.#withTimeout(to?.operatorApi.set(change, ackMs).then((response) => response.outcome));
       if (outcome !== undefined) {
         const lost = fleet.random() < (options.lossRatio ?? 0);
         fleet.note({ type: 'orderAnswered', atMs: fleet.time.nowMs, order, outcome, lost });
         if (!lost) return outcome;
       }
-      await new Promise<void>((resolve) => this.#run.later(againMs, resolve));
+      await new Promise<void>((resolve) => this.#environment.schedule(againMs, resolve));
     }
     return 'unclear';
   }
 
   /** What comes of an answer that may never come: whoever was asked may be gone. */
-  #patiently<T>(answer: Promise<T> | undefined): Promise<T | undefined> {
+  #withTimeout<T>(answer: Promise<T> | undefined): Promise<T | undefined> {
     if (answer === undefined) return Promise.resolve(undefined);
-    const patience = new Promise<undefined>((resolve) => this.#run.later(ackMs, () => resolve(undefined)));
+    const patience = new Promise<undefined>((resolve) => this.#environment.schedule(ackMs, () => resolve(undefined)));
     return Promise.race([answer.catch(() => undefined), patience]);
   }
 
   /** A controller that answers now: the one asked for, or any but the last. */
   #operatorApi(at: string | undefined, but: string | undefined): { readonly name: string; readonly operatorApi: OperatorApi } | undefined {
-    const open = this.#run.fleet.named('controller').flatMap(({ machine, process }) => {
+    const open = this.#environment.fleet.named('controller').flatMap(({ machine, process }) => {
       const operatorApi = process?.operatorApi;
       return operatorApi === undefined || machine.frozen ? [] : [{ name: machine.name, operatorApi }];
     });
     const chosen = open.find(({ name }) => name === at);
     const others = open.filter(({ name }) => name !== but);
-    return chosen ?? others[Math.floor(this.#run.fleet.random() * others.length)];
+    return chosen ?? others[Math.floor(this.#environment.fleet.random() * others.length)];
   }
 }
--- a/testing/simulator/src/sim/simReplica.ts
+++ b/testing/simulator/src/simulation/simReplica.ts
@@ -1,7 +1,6 @@
 import type { Address } from '@pewterlanding/model';
-import type { Instance } from './instance.js';
-import type { ReplicaTrouble } from './replicaTrouble.js';
-import type { SimMachine } from './simMachine.js';
+import type { Instance, SimMachine } from '../engine/index.js';
+import type { ReplicaFault } from './replicaFault.js';
 
 interface SimService {
   readonly kind: 'streamed' | 'whole';
@@ -9,7 +8,7 @@
   readonly pieces: number;
 }
 
-/** A replica in virtual time: the machine it stands on, its present life, and what it takes. */
+/** A replica in virtual time: the machine it stands on, its present instance, and what it takes. */
 export interface SimReplica {
   readonly address: Address;
   readonly machine: SimMachine;
@@ -23,5 +22,5 @@
   announcing: boolean;
   /** How many slots it says that it has, as a ratio to those that it has. */
   claimRatio: number;
-  trouble?: ReplicaTrouble | undefined;
+  fault?: ReplicaFault | undefined;
 }
--- a/tools/checks/briefPage.mjs
+++ b/tools/checks/briefPage.mjs
@@ -2,8 +2,8 @@
 
 const page = 'docs/brief.md';
 const sources = {
-  sim: [/simulator\/src\/sim\/((scenarios|faults)\/\w+|partialPartitionScenarios)\.ts$/, /^  (\w+): (?:\w+\(|\{$|\{ (?:act|\.\.\.))/gm],
-  real: [/simulator\/src\/real\/\w+Faults\.ts$/, /^  (\w+): (?:async )?\(/gm],
+  sim: [/simulator\/src\/(scenarios|faults)\/\w+(Scenarios|Faults)\.ts$/, /^  (\w+): (?:\w+\(|\{$|\{ (?:inject|run|\.\.\.))/gm],
+  real: [/simulator\/src\/fleet\/\w+Faults\.ts$/, /^  (\w+): (?:async )?\(/gm],
   guard: [/mutation\/mutations\.ts$/, /name: '(\w+)'/g],
 };
 
