--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -20,6 +20,7 @@
 export * from './documents/mergePatchBetween.js';
 export * from './names/nodeName.js';
 export * from './configuration/place.js';
+export * from './schema/pewterError.js';
 export * from './names/planId.js';
 export * from './names/quotaName.js';
 export * from './services/quotaRule.js';
--- a/programs/proxy/src/batch-api/batchBody.ts
+++ b/programs/proxy/src/batch-api/batchBody.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { ItemId, ServiceName } from '@pewterlanding/model';
 
-/** What a caller hands in. */
+/** The body of a batch submission: the service that runs the items, and each item under an id that is unique in the batch. */
 export const BatchBody = v.strictObject({
   service: ServiceName,
   items: v.array(v.strictObject({ id: ItemId, input: v.unknown() })),
--- a/programs/proxy/src/batch-api/submittedOpaque.ts
+++ b/programs/proxy/src/batch-api/submittedOpaque.ts
@@ -1,6 +1,9 @@
-/** What becomes of a hand-in of opaque items. A refusal promises that none of this try will run; `unknown` promises nothing. */
+/**
+ * The outcome of submitting opaque items. `rejected` promises that no item of this submission will run; `unknown` promises nothing:
+ * the batch may be stored already, or may be stored later.
+ */
 export type SubmittedOpaque =
-  | { readonly kind: 'made' }
-  | { readonly kind: 'refused'; readonly status: 429 | 503; readonly reason: string; readonly retryAfterMs: number }
-  | { readonly kind: 'refused'; readonly status: 404 | 409 | 413 | 422; readonly reason: string }
+  | { readonly kind: 'accepted' }
+  | { readonly kind: 'rejected'; readonly status: 429 | 503; readonly reason: string; readonly retryAfterMs: number }
+  | { readonly kind: 'rejected'; readonly status: 404 | 409 | 413 | 422; readonly reason: string }
   | { readonly kind: 'unknown' };
--- a/programs/proxy/src/batch-runner/batchRunner.ts
+++ b/programs/proxy/src/batch-runner/batchRunner.ts
@@ -91,7 +91,7 @@
     const { routingState, slotPool, clock, counters } = this.#options;
     const configuration = routingState.tables.configuration;
     const rule = configuration?.services[offer.service];
-    if (configuration === undefined || rule === undefined || !routingState.fresh()) return this.#calls.giveBack(offer);
+    if (configuration === undefined || rule === undefined || !routingState.isFresh()) return this.#calls.giveBack(offer);
     const granted = await slotPool.enter(
       offer.service,
       offer.quota,
@@ -110,7 +110,7 @@
         return this.#settle(offer, rule, undefined);
       }
       // By the monotonic clock: what was frozen here in between must not send now.
-      if (started === undefined || clock.nowMs() - askedMs > configuration.bounds.startWindowMs || !routingState.fresh()) {
+      if (started === undefined || clock.nowMs() - askedMs > configuration.bounds.startWindowMs || !routingState.isFresh()) {
         counters.add('lot.windowMissed');
         return await this.#calls.giveBack(offer);
       }
--- a/programs/proxy/src/batch-runner/itemRunner.ts
+++ b/programs/proxy/src/batch-runner/itemRunner.ts
@@ -85,7 +85,7 @@
         version < item.version
       )
         return back(tickMs);
-      if (idle.aborted || move >= maxMoves || !routingState.fresh()) return back(tickMs);
+      if (idle.aborted || move >= maxMoves || !routingState.isFresh()) return back(tickMs);
       // All have turned it away: what has no text yet goes back at once, and what has some is worth another look.
       const desired = this.#desired(offer, item, service, route, task);
       if (without.size > 0 && !selector.offers({ ...desired, without })) {
@@ -109,7 +109,7 @@
         if (
           begun?.task === undefined ||
           clock.nowMs() - askedMs > configuration.bounds.startWindowMs ||
-          !routingState.fresh() ||
+          !routingState.isFresh() ||
           idle.aborted
         ) {
           counters.add('lot.windowMissed');
--- a/programs/proxy/src/forwarding/proxyHandler.ts
+++ b/programs/proxy/src/forwarding/proxyHandler.ts
@@ -12,7 +12,7 @@
 import type { ResponseWriter } from './responseWriter.js';
 import type { AttemptEnd } from './attemptEnd.js';
 import type { RouteMatch } from '../routing/routeMatch.js';
-import { StartGate } from '../batch-runner/startGate.js';
+import { StartGate } from '../updates/startGate.js';
 import { selectionRequestOf } from '../selection/selectionRequestOf.js';
 
 interface ExchangesOptions {
--- /dev/null
+++ b/programs/proxy/src/front-proxy/index.ts
@@ -0,0 +1,1 @@
+export * from './frontProxy.js';
--- a/programs/proxy/src/main.ts
+++ b/programs/proxy/src/main.ts
@@ -2,7 +2,7 @@
 import meow from 'meow';
 import { addressParts } from '@pewterlanding/model';
 import { runProgram } from '@pewterlanding/runtime';
-import { proxyHttp } from './server/proxyHttp.js';
+import { proxyHttp } from './server/index.js';
 import { startProxy } from './startProxy.js';
 
 const cli = meow(
--- /dev/null
+++ b/programs/proxy/src/quota/index.ts
@@ -0,0 +1,1 @@
+export * from './localQuota.js';
--- a/programs/proxy/src/quota/localQuota.ts
+++ b/programs/proxy/src/quota/localQuota.ts
@@ -1,220 +1,173 @@
-import { every } from '@pewterlanding/runtime';
+import type { QuotaGrant, QuotaRequest } from '@pewterlanding/agent';
 import type { QuotaName } from '@pewterlanding/model';
-import type { Clock, Counters } from '@pewterlanding/runtime';
-import type { QuotaRequest, QuotaGrant } from '@pewterlanding/agent';
-import { LocalAllowance, shareOf, takeBoth } from '@pewterlanding/rate-limit';
 import type { Cost, Taken } from '@pewterlanding/rate-limit';
-
-interface Waiter {
-  readonly cost: Cost;
-  readonly untilMs: number;
-  readonly take: (taken: Taken) => void;
-}
-
-interface Held {
-  requests: number;
-  tokens: number;
-  /** Spent since the last draw, and a moving average of it. */
-  spent: Cost;
-  mean: Cost;
-  usedMs: number;
-  waiters: Waiter[];
-  own: LocalAllowance | undefined;
-}
+import { every } from '@pewterlanding/runtime';
+import type { Clock, Counters } from '@pewterlanding/runtime';
+import { QuotaBalance } from './quotaBalance.js';
 
 interface LocalQuotaOptions {
   readonly clock: Clock;
   readonly counters: Counters;
-  readonly drawMs: number;
-  /** The counter's holder must hear of this front at least so often, for its leases and its live tasks. */
-  readonly wordMs: number;
-  /** Without the counter's word for so long, the front spends its fixed slice. */
-  readonly aloneMs: number;
-  readonly draw: (requested: QuotaRequest['requested'], returned: QuotaRequest['returned']) => Promise<QuotaGrant>;
-  /** The branch's part of the fixed slice, a minute; undefined for a branch that no setup knows. */
-  readonly fixed: (quota: QuotaName) => Cost | undefined;
+  /** Between two requests while any quota is in use here. */
+  readonly requestIntervalMs: number;
+  /** Limit on the time between two requests: they also carry the proxy's leases and live tasks. */
+  readonly maxRequestIntervalMs: number;
+  /** Without a grant for so long, the proxy spends its fallback rate. */
+  readonly fallbackAfterMs: number;
+  readonly request: (requested: QuotaRequest['requested'], returned: QuotaRequest['returned']) => Promise<QuotaGrant>;
+  /** This proxy's fixed share of a quota, per minute; undefined for a quota that the configuration does not name. */
+  readonly fallbackRate: (quota: QuotaName) => Cost | undefined;
 }
 
-/** A front's prepaid budget: small slices drawn from the counter, or its fixed slice while the counter is silent. */
+type RequestBody = Pick<QuotaRequest, 'requested' | 'returned'>;
+
+/** A quota not used for so many multiples of `fallbackAfterMs` is returned. */
+const usedRatio = 2;
+
+/** Quota that this proxy holds: granted in small amounts by the counter, or a fixed share while the counter is unreachable. */
 export class LocalQuota {
   readonly #options: LocalQuotaOptions;
-  readonly #held = new Map<QuotaName, Held>();
+  readonly #balances = new Map<QuotaName, QuotaBalance>();
   readonly #stop: () => void;
-  #heardMs: number;
-  #drawnMs = Number.NEGATIVE_INFINITY;
-  #drawing = false;
+  #grantedAtMs: number;
+  #requestedAtMs = Number.NEGATIVE_INFINITY;
+  #requestInFlight = false;
 
   constructor(options: LocalQuotaOptions) {
     this.#options = options;
-    this.#heardMs = options.clock.nowMs();
-    this.#stop = every(options.clock, options.drawMs, () => this.#turn());
+    this.#grantedAtMs = options.clock.nowMs();
+    this.#stop = every(options.clock, options.requestIntervalMs, () => this.#requestIfDue());
   }
 
-  get alone(): boolean {
-    return this.#options.clock.nowMs() - this.#heardMs > this.#options.aloneMs;
+  /** Whether the counter has been unreachable for so long that the fallback rate is spent. */
+  get isOnFallback(): boolean {
+    return this.#options.clock.nowMs() - this.#grantedAtMs > this.#options.fallbackAfterMs;
   }
 
   close(): void {
     this.#stop();
   }
 
-  /** Takes a task's cost. Refuses as soon as it is known that there is none; waits only while that is not known. */
+  /** Spends a task's cost. Rejects it as soon as there is known to be none, and waits only while that is not known. */
   take(quota: QuotaName, cost: Cost, waitMs: number): Promise<Taken> {
-    const held = this.#of(quota);
-    const now = this.#options.clock.nowMs();
-    if (held.waiters.length === 0 && this.#spend(quota, held, cost, now)) return Promise.resolve({ ok: true });
-    if (this.alone) {
+    const balance = this.#balanceOf(quota);
+    const nowMs = this.#options.clock.nowMs();
+    if (!balance.hasWaiters && this.#spend(quota, balance, cost, nowMs)) return Promise.resolve({ ok: true });
+    if (this.isOnFallback) {
       this.#options.counters.add('slices.aloneRefused');
-      const retryAfterMs = held.own?.retryAfterMs(cost) ?? this.#options.aloneMs;
+      const retryAfterMs = balance.fallbackRetryAfterMs(cost) ?? this.#options.fallbackAfterMs;
       return Promise.resolve({ ok: false, retryAfterMs: Math.max(1, retryAfterMs) });
     }
-    return new Promise((take) => {
-      held.waiters.push({ cost, untilMs: now + waitMs, take });
-      void this.draw();
+    return new Promise((resolve) => {
+      balance.wait({ cost, untilMs: nowMs + waitMs, resolve });
+      void this.#request();
     });
   }
 
-  /** The task did not run: its cost is there again. */
+  /** Refunds the cost of a task that did not run. */
   put(quota: QuotaName, cost: Cost): void {
-    const held = this.#of(quota);
-    held.requests += cost.requests;
-    held.tokens += cost.tokens;
+    this.#balanceOf(quota).add(cost);
   }
 
-  /** The difference between what was estimated and what was used. */
+  /** Adds the difference between the tokens estimated and used, which may be negative. */
   settle(quota: QuotaName, tokens: number): void {
-    this.#of(quota).tokens += tokens;
+    this.#balanceOf(quota).add({ requests: 0, tokens });
   }
 
-  /** A front with nothing to draw says its word only so often as it must. */
-  #turn(): Promise<void> {
-    const { clock, wordMs, drawMs } = this.#options;
-    if (this.#held.size === 0 && clock.nowMs() - this.#drawnMs < wordMs - drawMs / 2) return Promise.resolve();
-    return this.draw();
+  /** Without any quota in use, requests are sent only as often as the proxy must be heard. */
+  #requestIfDue(): Promise<void> {
+    const { clock, maxRequestIntervalMs, requestIntervalMs } = this.#options;
+    const sinceMs = clock.nowMs() - this.#requestedAtMs;
+    if (this.#balances.size === 0 && sinceMs < maxRequestIntervalMs - requestIntervalMs / 2) return Promise.resolve();
+    return this.#request();
   }
 
-  async draw(): Promise<void> {
-    if (this.#drawing) return;
-    this.#drawing = true;
+  async #request(): Promise<void> {
+    if (this.#requestInFlight) return;
+    this.#requestInFlight = true;
+    const { clock, request, counters } = this.#options;
     try {
-      const { requested, returned } = this.#words();
-      this.#drawnMs = this.#options.clock.nowMs();
-      const quotaGrant = await this.#options.draw(requested, returned);
-      this.#heardMs = this.#options.clock.nowMs();
-      for (const { quota, granted, retryAfterMs } of quotaGrant.granted) this.#take(quota, granted, retryAfterMs);
+      const { requested, returned } = this.#requestBody();
+      this.#requestedAtMs = clock.nowMs();
+      const grant = await request(requested, returned);
+      this.#grantedAtMs = clock.nowMs();
+      for (const { quota, granted, retryAfterMs } of grant.granted) this.#add(quota, granted, retryAfterMs);
     } catch {
-      this.#options.counters.add('slices.undrawn');
-      if (this.alone) for (const [quota, held] of this.#held) this.#serve(quota, held, this.#options.aloneMs);
+      counters.add('slices.undrawn');
+      if (this.isOnFallback) this.#serveAllFromFallback();
     } finally {
-      this.#drawing = false;
-      this.#expire();
+      this.#requestInFlight = false;
+      this.#rejectExpired();
     }
   }
 
-  #words(): { readonly requested: QuotaRequest['requested']; readonly returned: QuotaRequest['returned'] } {
-    const now = this.#options.clock.nowMs();
+  #requestBody(): RequestBody {
+    const nowMs = this.#options.clock.nowMs();
     const requested: QuotaRequest['requested'] = [];
     const returned: QuotaRequest['returned'] = [];
-    for (const [quota, held] of this.#held) {
-      held.mean = {
-        requests: held.mean.requests * 0.8 + held.spent.requests * 0.2,
-        tokens: held.mean.tokens * 0.8 + held.spent.tokens * 0.2,
-      };
-      held.spent = { requests: 0, tokens: 0 };
-      const waiting = held.waiters.reduce(
-        (sum, { cost }) => ({ requests: sum.requests + cost.requests, tokens: sum.tokens + cost.tokens }),
-        { requests: 0, tokens: 0 },
-      );
-      // Two draws' worth ahead, so that the usual task finds its slice here.
-      const desired = {
-        requests: Math.max(0, Math.ceil(waiting.requests + held.mean.requests * 3 - held.requests)),
-        tokens: Math.max(0, Math.ceil(waiting.tokens + held.mean.tokens * 3 - held.tokens)),
-      };
-      const first = held.waiters[0]?.cost;
-      const minimum =
-        first === undefined
-          ? { requests: 0, tokens: 0 }
-          : {
-              requests: Math.max(0, Math.ceil(first.requests - held.requests)),
-              tokens: Math.max(0, Math.ceil(first.tokens - held.tokens)),
-            };
-      // A branch in use says so even when it wants nothing now: its room is not there to be lent.
-      const used = now - held.usedMs < this.#options.aloneMs * 2;
-      if (used || desired.requests > 0 || desired.tokens > 0) requested.push({ quota, desired, minimum });
-      // Room that lies here unused is missing elsewhere.
-      if (held.waiters.length === 0 && !used && (held.requests !== 0 || held.tokens !== 0)) {
-        returned.push({ quota, returned: { requests: Math.floor(held.requests), tokens: Math.floor(held.tokens) } });
-        this.#held.delete(quota);
-      }
+    for (const [quota, balance] of this.#balances) {
+      const next = balance.nextRequest();
+      // A quota in use is named even when nothing is desired: the counter must not lend its capacity to others.
+      const isUsed = balance.isUsed(nowMs, this.#options.fallbackAfterMs * usedRatio);
+      if (isUsed || next.desired.requests > 0 || next.desired.tokens > 0) requested.push(next);
+      if (isUsed || balance.hasWaiters) continue;
+      // What lies here unused is missing at other proxies.
+      const unused = balance.returnable();
+      if (unused === undefined) continue;
+      returned.push(unused);
+      this.#balances.delete(quota);
     }
     return { requested, returned };
   }
 
-  #take(quota: QuotaName, granted: Cost, retryAfterMs: number): void {
-    const held = this.#of(quota);
-    held.requests += granted.requests;
-    held.tokens += granted.tokens;
-    this.#serve(quota, held, retryAfterMs);
-  }
-
-  /** Serves waiters in order; those for whom there is surely nothing are told when to come back. */
-  #serve(quota: QuotaName, held: Held, retryAfterMs: number): void {
-    const now = this.#options.clock.nowMs();
-    for (let first = held.waiters[0]; first !== undefined; first = held.waiters[0]) {
-      if (this.#spend(quota, held, first.cost, now)) {
-        held.waiters.shift();
-        first.take({ ok: true });
-      } else if (retryAfterMs > 0) {
-        held.waiters.shift();
-        first.take({ ok: false, retryAfterMs });
-      } else return;
+  #add(quota: QuotaName, granted: Cost, retryAfterMs: number): void {
+    const balance = this.#balanceOf(quota);
+    balance.add(granted);
+    this.#serve(quota, balance, retryAfterMs);
+  }
+
+  #serveAllFromFallback(): void {
+    for (const [quota, balance] of this.#balances) this.#serve(quota, balance, this.#options.fallbackAfterMs);
+  }
+
+  /** Serves waiting tasks in order. With `retryAfterMs` above 0 there is surely no more, and the rest are rejected with it. */
+  #serve(quota: QuotaName, balance: QuotaBalance, retryAfterMs: number): void {
+    const nowMs = this.#options.clock.nowMs();
+    for (let first = balance.firstWaiter; first !== undefined; first = balance.firstWaiter) {
+      const isServed = this.#spend(quota, balance, first.cost, nowMs);
+      if (!isServed && retryAfterMs <= 0) return;
+      balance.removeFirstWaiter();
+      first.resolve(isServed ? { ok: true } : { ok: false, retryAfterMs });
     }
   }
 
-  #expire(): void {
-    const now = this.#options.clock.nowMs();
-    for (const held of this.#held.values()) {
-      const late = held.waiters.filter((waiter) => waiter.untilMs <= now);
-      held.waiters = held.waiters.filter((waiter) => waiter.untilMs > now);
-      for (const waiter of late) waiter.take({ ok: false, retryAfterMs: this.#options.aloneMs });
+  #rejectExpired(): void {
+    const { clock, fallbackAfterMs } = this.#options;
+    const nowMs = clock.nowMs();
+    for (const balance of this.#balances.values()) {
+      for (const waiter of balance.removeExpiredWaiters(nowMs)) waiter.resolve({ ok: false, retryAfterMs: fallbackAfterMs });
     }
   }
 
-  #spend(quota: QuotaName, held: Held, cost: Cost, now: number): boolean {
-    if (held.requests >= cost.requests && held.tokens >= cost.tokens) {
-      held.requests -= cost.requests;
-      held.tokens -= cost.tokens;
-    } else if (!this.alone || !this.#spendOwn(quota, held, cost, now)) return false;
-    held.spent = { requests: held.spent.requests + cost.requests, tokens: held.spent.tokens + cost.tokens };
-    held.usedMs = now;
-    return true;
+  #spend(quota: QuotaName, balance: QuotaBalance, cost: Cost, nowMs: number): boolean {
+    if (balance.spend(cost, nowMs)) return true;
+    return this.isOnFallback && this.#spendFallback(quota, balance, cost, nowMs);
   }
 
-  /** The fixed slice, by the same step as the counter's; the counter keeps back as much for a front it does not hear. */
-  #spendOwn(quota: QuotaName, held: Held, cost: Cost, now: number): boolean {
-    const rate = this.#options.fixed(quota);
+  /** The counter sets the fallback shares aside for proxies that it does not hear. */
+  #spendFallback(quota: QuotaName, balance: QuotaBalance, cost: Cost, nowMs: number): boolean {
+    const rate = this.#options.fallbackRate(quota);
     if (rate === undefined) return false;
-    held.own ??= new LocalAllowance(shareOf(rate, 0.1), rate, { requests: 0, tokens: 0 }, now);
-    held.own.reshape(shareOf(rate, 0.1), rate, now);
-    const taken = takeBoth([held.own], cost, now).ok;
-    if (taken) this.#options.counters.add('slices.alone');
-    return taken;
+    const isSpent = balance.spendFallback(cost, rate, nowMs);
+    if (isSpent) this.#options.counters.add('slices.alone');
+    return isSpent;
   }
 
-  #of(quota: QuotaName): Held {
-    const known = this.#held.get(quota);
+  #balanceOf(quota: QuotaName): QuotaBalance {
+    const known = this.#balances.get(quota);
     if (known !== undefined) return known;
-    const none = { requests: 0, tokens: 0 };
-    const held: Held = {
-      requests: 0,
-      tokens: 0,
-      spent: none,
-      mean: none,
-      usedMs: this.#options.clock.nowMs(),
-      waiters: [],
-      own: undefined,
-    };
-    this.#held.set(quota, held);
-    return held;
+    const balance = new QuotaBalance(quota, this.#options.clock.nowMs());
+    this.#balances.set(quota, balance);
+    return balance;
   }
 }
--- /dev/null
+++ b/programs/proxy/src/server/index.ts
@@ -0,0 +1,5 @@
+export * from './proxyHttp.js';
+export * from './proxyServer.js';
+export * from './sendError.js';
+export * from './sendReturn.js';
+export * from './taskBody.js';
--- a/programs/proxy/src/server/taskBody.ts
+++ b/programs/proxy/src/server/taskBody.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
 
-/** What a caller asks of a service. */
+/** The body of a live task. */
 export const TaskBody = v.strictObject({ input: v.unknown() });
 export type TaskBody = v.InferOutput<typeof TaskBody>;
--- a/programs/proxy/src/startProxy.ts
+++ b/programs/proxy/src/startProxy.ts
@@ -2,7 +2,7 @@
 import { Counters, nodeLog, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Clock, Running } from '@pewterlanding/runtime';
-import { FrontProxy } from './frontProxy.js';
+import { FrontProxy } from './front-proxy/index.js';
 import type { HeaderNames } from './forwarding/headerNames.js';
 import { HttpReplicaTransport } from './forwarding/httpReplicaTransport.js';
 import { defaultHeaderNames } from './forwarding/defaultHeaderNames.js';
--- /dev/null
+++ b/programs/proxy/src/updates/index.ts
@@ -0,0 +1,3 @@
+export * from './initialUpdate.js';
+export * from './routingState.js';
+export * from './startGate.js';
--- a/programs/proxy/src/updates/routingState.ts
+++ b/programs/proxy/src/updates/routingState.ts
@@ -82,7 +82,7 @@
    * Under a joining setup a front that is out of touch serves on by what it knows: nothing forbids that to a machine that
    * cannot hear, and its callers have nobody else. Only a version that it knows to be older than another it holds back.
    */
-  fresh(): boolean {
+  isFresh(): boolean {
     const { configuration, version } = this.#tables;
     if (configuration === undefined) return false;
     if (configuration.joining && this.#newestVersion === Number.POSITIVE_INFINITY) return true;
@@ -91,6 +91,11 @@
     return this.#options.clock.nowMs() - this.#freshFromMs <= configuration.bounds.freshnessMs;
   }
 
+  /** The earlier name of `isFresh`, until the forwarding folder calls it by the new one. */
+  fresh(): boolean {
+    return this.isFresh();
+  }
+
   take(all: readonly Update[]): void {
     // A change on a version that is not held here is left out; the agent sees it by the checksum and feeds the whole.
     const fresh = all.flatMap((sent) => {
--- a/testing/simulator/src/sim/simFleet.ts
+++ b/testing/simulator/src/sim/simFleet.ts
@@ -227,7 +227,7 @@
         }),
       ),
     );
-    return told.every((one, position) => one === 'taken' || Object.keys(replica.services)[position] === 'ghost');
+    return told.every((one, position) => one === 'accepted' || Object.keys(replica.services)[position] === 'ghost');
   }
 
   #startKeeper(host: SimHost, process: Process): void {
--- a/testing/simulator/src/sim/simTraffic.ts
+++ b/testing/simulator/src/sim/simTraffic.ts
@@ -205,12 +205,12 @@
     }));
     for (let attempts = 0; attempts < 20 && !this.#stopped; attempts += 1) {
       const { proxy } = this.front();
-      const handed = await proxy?.batches.hand(quota, key, { service: v.parse(ServiceName, service), items }).catch(() => undefined);
-      if (handed?.kind === 'made') {
+      const submitted = await proxy?.batches.submit(quota, key, { service: v.parse(ServiceName, service), items }).catch(() => undefined);
+      if (submitted?.kind === 'accepted') {
         this.#fleet.note({ type: 'batchAccepted', atMs: time.nowMs, batch: name, quota, items: [...ids] });
-        return handed.batch;
+        return submitted.batch;
       }
-      if (handed?.kind === 'refused' && final.has(handed.status)) {
+      if (submitted?.kind === 'rejected' && final.has(submitted.status)) {
         this.#fleet.note({ type: 'batchRefused', atMs: time.nowMs, batch: name, items: [...ids] });
         return undefined;
       }
--- a/testing/simulator/test/opaqueBatches.test.ts
+++ b/testing/simulator/test/opaqueBatches.test.ts
@@ -110,9 +110,13 @@
       { events: [['6', 'c']], end: { kind: 'done' } },
     ];
     const { run, items, hand, read, front } = await fleetWith(() => scripts.shift() ?? { events: [], end: broken });
-    expect(await run.until(hand(1, 'l'), 2000)).toEqual({ kind: 'made' });
-    expect(await run.until(hand(2, 'l'), 2000)).toEqual({ kind: 'made' });
-    expect(await run.until(hand(3, 'l', [11]), 2000)).toEqual({ kind: 'refused', status: 409, reason: 'this id was used for another lot' });
+    expect(await run.until(hand(1, 'l'), 2000)).toEqual({ kind: 'accepted' });
+    expect(await run.until(hand(2, 'l'), 2000)).toEqual({ kind: 'accepted' });
+    expect(await run.until(hand(3, 'l', [11]), 2000)).toEqual({
+      kind: 'rejected',
+      status: 409,
+      reason: 'this id was used for another batch',
+    });
     expect(await run.until(read(3, 'l', 1), 20_000)).toEqual(['l0 settled a\nb\nb\nc']);
     expect(items.resumes).toEqual([undefined, '5', '5', '5']);
     const sent = items.attempts[0];
@@ -132,8 +136,8 @@
       waitingTokens: 30,
     });
     const both = await run.until(Promise.all([hand(1, 'l', [10, 10]), hand(2, 'm', [10, 10])]), 2000);
-    expect(both.map((one) => (one.kind === 'refused' ? one.status : one.kind)).sort()).toEqual([429, 'made']);
-    const refused = both[0]?.kind === 'made' ? 'm' : 'l';
+    expect(both.map((one) => (one.kind === 'rejected' ? one.status : one.kind)).sort()).toEqual([429, 'accepted']);
+    const refused = both[0]?.kind === 'accepted' ? 'm' : 'l';
     await run.pass(5000);
     expect(items.attempts.filter(({ task }) => task.startsWith(refused))).toEqual([]);
     expect(items.attempts.length > 0).toEqual(true);
@@ -156,7 +160,7 @@
         ? { events: [], end: { kind: 'notRun', status: 503 } }
         : { events: [], end: { kind: 'status', status: task === 'l0' ? 500 : 422 } },
     );
-    expect(await run.until(hand(1, 'l', [1, 1, 1]), 2000)).toEqual({ kind: 'made' });
+    expect(await run.until(hand(1, 'l', [1, 1, 1]), 2000)).toEqual({ kind: 'accepted' });
     expect(await run.until(read(2, 'l', 2), 20_000)).toEqual(['l2 abandoned ', 'l0 abandoned ']);
     expect(items.attempts.filter(({ task }) => task === 'l0').length).toEqual(2);
     expect(await run.until(run.operate({ part: { routes: { r: null } } }), 20_000)).toEqual('confirmed');
@@ -171,7 +175,7 @@
     expect(await run.until(hand(1, 'l', [10], 700), 2000)).toEqual({ kind: 'unknown' });
     for (const name of stores) run.fleet.host(name).machine.wake();
     await run.pass(3000);
-    expect(await run.until(hand(2, 'l'), 5000)).toEqual({ kind: 'made' });
+    expect(await run.until(hand(2, 'l'), 5000)).toEqual({ kind: 'accepted' });
     expect(await run.until(read(3, 'l', 1), 20_000)).toEqual(['l0 settled x']);
   });
 });
--- a/testing/simulator/test/repeatedHand.test.ts
+++ b/testing/simulator/test/repeatedHand.test.ts
@@ -13,10 +13,10 @@
       const proxy = run.fleet.host('front-1').process?.proxy;
       if (proxy === undefined) throw new Error('no front');
       const handed = await run.until(
-        proxy.batches.hand('north', key, { service: v.parse(ServiceName, 'tag'), items: items.slice(0, count) }),
+        proxy.batches.submit('north', key, { service: v.parse(ServiceName, 'tag'), items: items.slice(0, count) }),
         5000,
       );
-      return handed.kind === 'made' ? 'made' : `${handed.status}`;
+      return handed.kind === 'accepted' ? 'made' : `${handed.status}`;
     };
     expect(await hand('first')).toEqual('made');
     expect(await run.until(run.operate({ part: { bounds: { maxItems: 2 } } }), 20_000)).toEqual('confirmed');
