--- a/programs/proxy/src/main.ts
+++ b/programs/proxy/src/main.ts
@@ -16,21 +16,24 @@
   { importMeta: import.meta, flags: runProgram.flags },
 );
 
+/** Limit on the bodies of the product's own interface. */
+const maxBodyBytes = 8 << 20;
+
 await runProgram({
   flags: cli.flags,
   needs: ['http', 'beside'],
-  start: (granted) =>
+  start: (options) =>
     startProxy({
-      ...granted,
+      ...options,
       serve: async ({ bootSettings, proxy, instance, counters }) => {
         let tasks = 0;
         const app = proxyHttp({
           proxy,
           counters,
           nextTask: () => `${bootSettings.name}-${instance}-${(tasks += 1)}`,
-          maxBodyBytes: 8 << 20,
+          maxBodyBytes,
         });
-        const { host, port } = addressParts(granted.http);
+        const { host, port } = addressParts(options.http);
         await app.listen({ host, port });
         return async () => {
           await app.close();
--- a/programs/proxy/src/startProxy.ts
+++ b/programs/proxy/src/startProxy.ts
@@ -2,22 +2,19 @@
 import { Counters, nodeLog, pause, StartupTimeline, SystemClock, TcpTransport } from '@pewterlanding/runtime';
 import type { Address } from '@pewterlanding/model';
 import type { BootSettings, Clock, Running } from '@pewterlanding/runtime';
-import { FrontProxy } from './front-proxy/index.js';
+import { defaultHeaderNames } from './forwarding/defaultHeaderNames.js';
 import type { HeaderNames } from './forwarding/headerNames.js';
 import { HttpReplicaTransport } from './forwarding/httpReplicaTransport.js';
-import { defaultHeaderNames } from './forwarding/defaultHeaderNames.js';
-
-/** Of the grace: what runs of lots is broken off so long before its end. */
-const haltRatio = 0.1;
+import { FrontProxy } from './front-proxy/index.js';
 
 interface StartProxyOptions {
   readonly bootSettings: BootSettings;
   readonly http: Address;
   /** The agent's address. */
   readonly beside: Address;
-  /** The names of headers on opaque tasks; left out, the product's own. */
+  /** Names of the headers on opaque tasks; by default the product's own. */
   readonly headerNames?: HeaderNames;
-  /** What callers reach; listens, and returns how to end it. */
+  /** Starts the HTTP interface for callers; resolves to what stops it. */
   readonly serve: (parts: {
     readonly bootSettings: BootSettings;
     readonly proxy: FrontProxy;
@@ -27,14 +24,17 @@
   }) => Promise<() => Promise<void>>;
 }
 
-/** A proxy put together and listening. */
-export async function startProxy({
-  bootSettings,
-  http,
-  beside,
-  headerNames = defaultHeaderNames,
-  serve,
-}: StartProxyOptions): Promise<Running> {
+/** Part of the grace period, at its end, in which batch items that still run are aborted and their leases returned. */
+const haltRatio = 0.1;
+/** A leaving proxy serves for a third of the grace period, at most for so long, until the platform sees that it is not ready. */
+const maxNoticeMs = 2000;
+const noticeDivisor = 3;
+/** Between two looks at whether all tasks have ended. */
+const pollMs = 50;
+
+/** Starts a proxy: resolves once it listens for its agent and for callers, rejects when an address cannot be listened on. */
+export async function startProxy(options: StartProxyOptions): Promise<Running> {
+  const { bootSettings, http, serve } = options;
   const clock = new SystemClock();
   const counters = new Counters();
   const log = nodeLog(`${bootSettings.name}/proxy`, bootSettings.logLevel);
@@ -50,41 +50,44 @@
   const replicas = new HttpReplicaTransport(clock);
   const instance = randomUUID();
   const proxy = new FrontProxy({
-    front: bootSettings.name,
+    ...settingsOf(options),
     instance,
-    zone: bootSettings.zone,
-    agent: beside,
-    seeds: bootSettings.seeds,
     clock,
     transport,
     replicas,
-    headerNames,
     random: Math.random,
-    heartbeatMs: bootSettings.heartbeatMs,
-    failureTimeoutMs: bootSettings.failureTimeoutMs,
     counters,
     log,
     timeline,
   });
   await transport.listen();
-  const end = await serve({ bootSettings, proxy, instance, clock, counters });
+  const stopServing = await serve({ bootSettings, proxy, instance, clock, counters });
   log.info(`callers at ${http}`);
   timeline.reach('listening');
   return {
     leave: async (graceMs) => {
-      proxy.leave();
-      const untilMs = clock.nowMs() + graceMs;
-      // The platform needs a moment to see that this front is not ready; it serves until then.
-      const noticeMs = clock.nowMs() + Math.min(graceMs / 3, 2000);
-      while (clock.nowMs() < untilMs && (proxy.running > 0 || clock.nowMs() < noticeMs)) {
-        // Items that are given back need a moment to be written, and all of it ends inside the grace.
-        if (untilMs - clock.nowMs() < graceMs * haltRatio) proxy.halt();
-        await pause(clock, 50);
-      }
+      await drain(proxy, clock, graceMs);
       proxy.finish();
       await replicas.close();
-      await end();
+      await stopServing();
       transport.close();
     },
   };
 }
+
+function settingsOf({ bootSettings, beside, headerNames }: StartProxyOptions) {
+  const { name, zone, seeds, heartbeatMs, failureTimeoutMs } = bootSettings;
+  return { front: name, zone, seeds, heartbeatMs, failureTimeoutMs, agent: beside, headerNames: headerNames ?? defaultHeaderNames };
+}
+
+/** Serves on until the tasks in flight have ended and the platform had time to see that the proxy leaves, or the grace is over. */
+async function drain(proxy: FrontProxy, clock: Clock, graceMs: number): Promise<void> {
+  proxy.leave();
+  const untilMs = clock.nowMs() + graceMs;
+  const noticeUntilMs = clock.nowMs() + Math.min(graceMs / noticeDivisor, maxNoticeMs);
+  while (clock.nowMs() < untilMs && (proxy.running > 0 || clock.nowMs() < noticeUntilMs)) {
+    // Returned leases take a moment to be written, and that too must end within the grace period.
+    if (untilMs - clock.nowMs() < graceMs * haltRatio) proxy.halt();
+    await pause(clock, pollMs);
+  }
+}
--- a/programs/proxy/src/updates/initialUpdate.ts
+++ b/programs/proxy/src/updates/initialUpdate.ts
@@ -10,61 +10,61 @@
   readonly transport: Transport;
   readonly clock: Clock;
   readonly counters: Counters;
-  /** Controllers, of which some may be down. */
+  /** Controllers; some may be down. */
   readonly seeds: readonly Address[];
   readonly stateTable: StateTable;
   readonly heartbeatMs: number;
   readonly take: (updates: readonly Update[]) => void;
 }
 
-/** So often into a heartbeat a controller is asked; while all start together, the first ones know nothing yet. */
-const looksPerHeartbeat = 16;
-/** After so many heartbeats only the agent is waited for: it is up by then, and before a first configuration there is nothing to get. */
-const patienceHeartbeats = 3;
+/** How often in a heartbeat a controller is asked: while all nodes start together, the first ones have no updates yet. */
+const requestsPerHeartbeat = 16;
+/** After so many heartbeats no controller is asked any more: the agent is up by then, or there is no first configuration yet. */
+const maxHeartbeats = 3;
 
 /**
- * What a front that starts asks of controllers itself, until its agent feeds it. The two share a small core and the agent comes
- * up last: waiting for it doubles the time until the front can serve. The words that come this way are those that the agent
- * would bring: news, of which only the newest stands, from the board of any node.
+ * Fetches updates from controllers while the proxy starts, until its agent sends them. The two share one core and the agent starts
+ * last: waiting for it doubles the time until the proxy can serve. The updates are the same that the agent would send, and only
+ * the newest of each key is kept, so it does not matter which node they come from.
  */
 export class InitialUpdate {
   readonly #options: InitialUpdateOptions;
   readonly #stops: readonly (() => void)[];
-  /** Those that have not answered yet: a machine without power says nothing, and the others must not wait behind it. */
+  /** Controllers with a request in flight: one without power never answers, and requests to the others must not wait for it. */
   readonly #pending = new Set<Address>();
-  #asked: number;
-  #over = false;
+  #requests: number;
+  #closed = false;
 
   constructor(options: InitialUpdateOptions) {
     this.#options = options;
     const { clock, heartbeatMs, front } = options;
-    // Fronts that start together begin at different controllers.
-    this.#asked = hashOf(front);
+    // Proxies that start together begin at different controllers.
+    this.#requests = hashOf(front);
     this.#stops = [
-      every(clock, heartbeatMs / looksPerHeartbeat, () => void this.#ask()),
-      clock.after(heartbeatMs * patienceHeartbeats, () => this.close()),
+      every(clock, heartbeatMs / requestsPerHeartbeat, () => void this.#fetch()),
+      clock.after(heartbeatMs * maxHeartbeats, () => this.close()),
     ];
-    void this.#ask();
+    void this.#fetch();
   }
 
-  /** The agent is heard: from now on its word is enough. */
+  /** Called when the agent has sent a configuration: no more updates are fetched. */
   close(): void {
-    this.#over = true;
+    this.#closed = true;
     for (const stop of this.#stops) stop();
   }
 
-  async #ask(): Promise<void> {
+  async #fetch(): Promise<void> {
     const { transport, counters, stateTable, heartbeatMs, seeds, take } = this.#options;
-    const seed = seeds[this.#asked % seeds.length];
-    this.#asked += 1;
-    if (this.#over || seed === undefined || this.#pending.has(seed)) return;
+    const seed = seeds[this.#requests % seeds.length];
+    this.#requests += 1;
+    if (this.#closed || seed === undefined || this.#pending.has(seed)) return;
     this.#pending.add(seed);
     try {
       const { differing } = await transport.ask(seed, membershipCalls.digest, { digest: [...stateTable.digest] }, heartbeatMs);
-      if (differing.length === 0 || this.#over) return;
-      const asked = { from: transport.here, buckets: differing, versions: stateTable.versions(differing) };
-      const { newer } = await transport.ask(seed, membershipCalls.compare, asked, heartbeatMs);
-      if (this.#over) return;
+      if (differing.length === 0 || this.#closed) return;
+      const request = { from: transport.here, buckets: differing, versions: stateTable.versions(differing) };
+      const { newer } = await transport.ask(seed, membershipCalls.compare, request, heartbeatMs);
+      if (this.#closed) return;
       counters.add('proxy.firstNews');
       take(newer);
     } catch {
--- a/programs/proxy/src/updates/startGate.ts
+++ b/programs/proxy/src/updates/startGate.ts
@@ -2,18 +2,18 @@
 
 interface StartGateOptions {
   readonly clock: Clock;
-  /** Whether this front knows where to send tasks. */
+  /** Whether this proxy has a configuration and replicas. */
   readonly ready: () => boolean;
-  /** So long after its start a front that still knows nothing refuses at once. */
+  /** Time after the start from which tasks are not held any more. */
   readonly patienceMs: number;
 }
 
-/** More than these are refused at once: each holds its body in memory. */
-const maxHeld = 1024;
+/** Limit on the tasks held, each with its body in memory; further ones pass at once. */
+const maxHeldTasks = 1024;
 
 /**
- * A front that has just started knows neither setup nor replicas for a moment. Tasks that come meanwhile are held shortly:
- * refused, they would all come again at the same time, and pay for it.
+ * Holds tasks while a proxy that has just started has no configuration or no replicas yet: rejected at once, all of them would be
+ * sent again at the same time.
  */
 export class StartGate {
   readonly #options: StartGateOptions;
@@ -25,30 +25,32 @@
     this.#untilMs = options.clock.nowMs() + options.patienceMs;
   }
 
+  /** Tasks held now. */
   get held(): number {
     return this.#held.size;
   }
 
-  /** Resolves once the front knows enough, or after `waitMs`. */
+  /** Resolves once the proxy is ready, after `waitMs`, or on abort. */
   pass(waitMs: number, abort: AbortSignal): Promise<void> {
     const { clock, ready } = this.#options;
     const maxMs = Math.min(waitMs, this.#untilMs - clock.nowMs());
-    if (maxMs <= 0 || abort.aborted || this.#held.size >= maxHeld || ready()) return Promise.resolve();
+    if (maxMs <= 0 || abort.aborted || this.#held.size >= maxHeldTasks || ready()) return Promise.resolve();
     return new Promise((resolve) => {
-      const go = (): void => {
+      const pass = (): void => {
         cancel();
-        abort.removeEventListener('abort', go);
-        this.#held.delete(go);
+        abort.removeEventListener('abort', pass);
+        this.#held.delete(pass);
         resolve();
       };
-      const cancel = clock.after(maxMs, go);
-      abort.addEventListener('abort', go);
-      this.#held.add(go);
+      const cancel = clock.after(maxMs, pass);
+      abort.addEventListener('abort', pass);
+      this.#held.add(pass);
     });
   }
 
-  /** The news have changed. */
+  /** Lets the held tasks pass if the proxy is ready. Called when the routing tables have changed. */
   look(): void {
-    if (this.#held.size > 0 && this.#options.ready()) for (const go of [...this.#held]) go();
+    if (this.#held.size === 0 || !this.#options.ready()) return;
+    for (const pass of [...this.#held]) pass();
   }
 }
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -90,7 +90,7 @@
     seeds: [1, 2, 3],
     ci: true,
     edits: [
-      { file: `${proxy}/updates/routingState.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
+      { file: `${proxy}/updates/announcedReplicas.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
       // A replica that says nothing more is left for last, which holds this rule too.
       { file: `${proxy}/selection/slotPool.js`, text: 'fit.filter((row) => !row.late)', instead: 'fit' },
     ],
@@ -108,12 +108,12 @@
         instead: "const rule = configuration.services[task.service] ?? configuration.services['memo'];",
       },
       {
-        file: `${proxy}/updates/routingState.js`,
-        text: 'this.#tables.configuration?.services[replica.service]',
-        instead: "(this.#tables.configuration?.services[replica.service] ?? this.#tables.configuration?.services['memo'])",
+        file: `${proxy}/updates/announcementRules.js`,
+        text: 'configuration?.services[replica.service]',
+        instead: "(configuration?.services[replica.service] ?? configuration?.services['memo'])",
       },
       {
-        file: `${proxy}/updates/routingState.js`,
+        file: `${proxy}/updates/announcedReplicas.js`,
         text: 'const rule = configuration.services[replica.service];',
         instead: "const rule = configuration.services[replica.service] ?? configuration.services['memo'];",
       },
@@ -134,7 +134,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${proxy}/updates/routingState.js`,
+        file: `${proxy}/updates/freshness.js`,
         text: 'return this.#options.clock.nowMs() - this.#freshFromMs <= configuration.bounds.freshnessMs;',
         instead: 'return true;',
       },
