--- a/programs/proxy/src/batch-runner/itemAttempt.ts
+++ b/programs/proxy/src/batch-runner/itemAttempt.ts
@@ -1,20 +1,20 @@
 import type { Address } from '@pewterlanding/model';
 
-/** One sending of an opaque item to one replica. */
+/** One request that sends an opaque item to one replica. */
 export interface ItemAttempt {
-  /** What tells the replica from others, and its circuits. */
+  /** Identifies the replica and its connections. */
   readonly key: string;
   readonly address: Address;
-  /** The life of the replica that is meant, where it has one. */
+  /** The replica's instance that is meant, where it has one. */
   readonly instance: string | undefined;
-  /** The id that the return must carry back. */
+  /** The id that the response must carry. */
   readonly task: string;
   readonly method: 'POST';
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** So long the whole of it may take. */
+  /** Limit on the whole exchange. */
   readonly expiryMs: number;
-  /** A return silent for so long is broken off. */
+  /** Limit on the time between two pieces of the response; then the exchange is aborted. */
   readonly failureTimeoutMs: number;
 }
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -205,7 +205,7 @@
     scenario: 'endedWhileFrozen',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/batch-runner/batchRunner.js`, text: 'if (started?.done === false)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/batch-runner/ownItemRunner.js`, text: 'if (started?.done === false)', instead: 'if (false)' }],
   },
   {
     name: 'unreachableCandidateIsPassedOver',
