--- a/programs/proxy/src/batch-api/batchBody.ts
+++ b/programs/proxy/src/batch-api/batchBody.ts
@@ -6,4 +6,5 @@
   service: ServiceName,
   items: v.array(v.strictObject({ id: ItemId, input: v.unknown() })),
 });
+/** See the schema. */
 export type BatchBody = v.InferOutput<typeof BatchBody>;
--- a/programs/proxy/src/batch-runner/batchRunner.ts
+++ b/programs/proxy/src/batch-runner/batchRunner.ts
@@ -56,13 +56,13 @@
     return this.#leases.size;
   }
 
-  /** The leases held here, for the quota counter: by them it tells a lost item from a slow one. */
+  /** The leases held here, for the quota counter, which distinguishes a lost item from a slow one by them. */
   leases(): string[] {
     return [...this.#leases.values()];
   }
 
   /** Runs the offered items, except those whose lease is held already: an offer may be sent twice. */
-  take(offers: readonly LeaseOffer[]): void {
+  accept(offers: readonly LeaseOffer[]): void {
     for (const offer of offers) {
       const lease = leaseKey(offer.lease);
       const key = `${offer.ref.batch} ${offer.ref.position} ${lease}`;
--- a/programs/proxy/src/batch-runner/itemExchange.ts
+++ b/programs/proxy/src/batch-runner/itemExchange.ts
@@ -33,6 +33,8 @@
   #end: ItemEnd | undefined;
   #cancelTimer = (): void => undefined;
   #destroy = (): void => undefined;
+  /** A field, so that the same function is added and removed as a listener. */
+  readonly #stop = (): void => this.#breakOff(this.#end ?? { kind: 'broken', reason: 'given up' });
 
   constructor(options: ItemExchangeOptions) {
     this.#options = options;
@@ -100,8 +102,6 @@
     else this.#cancelTimer = clock.after(leftMs, () => this.#watch());
   }
 
-  readonly #stop = (): void => this.#breakOff(this.#end ?? { kind: 'broken', reason: 'given up' });
-
   /** The connection is destroyed, for the rest of the response would be taken for another's. */
   #breakOff(end: ItemEnd): void {
     this.#destroy();
--- a/programs/proxy/src/batch-runner/itemRun.ts
+++ b/programs/proxy/src/batch-runner/itemRun.ts
@@ -145,7 +145,7 @@
   async #returnLease(waitMs: number, failed = false): Promise<Next> {
     const { offer, calls } = this.#options;
     if (!this.#ran) {
-      await calls.giveBack(offer, waitMs);
+      await calls.returnLease(offer, waitMs);
       return 'over';
     }
     await calls.release(offer, { tried: false, failed, waitMs });
--- a/programs/proxy/src/batch-runner/itemSender.ts
+++ b/programs/proxy/src/batch-runner/itemSender.ts
@@ -24,7 +24,7 @@
   readonly text: EventText;
 }
 
-/** Part of the failure timeout: a replica that sends nothing for so long during a task has lost it. */
+/** Multiple of the failure timeout: a replica that sends nothing for so long is taken to have lost the item. */
 const silenceRatio = 0.6;
 
 /** Sends an opaque item to one replica and collects its events. */
--- a/programs/proxy/src/batch-runner/leaseCalls.ts
+++ b/programs/proxy/src/batch-runner/leaseCalls.ts
@@ -48,7 +48,7 @@
   }
 
   /** Returns the lease of an item that did not run, and the quota reserved for it. */
-  async giveBack(offer: LeaseOffer, waitMs?: number): Promise<void> {
+  async returnLease(offer: LeaseOffer, waitMs?: number): Promise<void> {
     this.#options.counters.add('lot.givenBack');
     await this.release(offer, { tried: false, waitMs });
     this.settle(offer, false, 0, 0);
--- a/programs/proxy/src/batch-runner/ownItemRunner.ts
+++ b/programs/proxy/src/batch-runner/ownItemRunner.ts
@@ -43,11 +43,11 @@
     const { routingState, slotPool, calls, leaving } = this.#options;
     const { configuration } = routingState.tables;
     const service = configuration?.services[offer.service];
-    if (configuration === undefined || service === undefined || !routingState.isFresh()) return calls.giveBack(offer);
+    if (configuration === undefined || service === undefined || !routingState.isFresh()) return calls.returnLease(offer);
     const waitMs = configuration.bounds.staleMs * slotWaitRatio;
     const slot = await slotPool.enter(offer.service, offer.quota, 'batch', waitMs, new Set(), leaving);
     // Live tasks use all the capacity: the lease is returned, and no attempt counts.
-    if (slot.kind !== 'room') return calls.giveBack(offer);
+    if (slot.kind !== 'room') return calls.returnLease(offer);
     try {
       await this.#start({ offer, configuration, service }, slot.address);
     } finally {
@@ -68,7 +68,7 @@
     const isLate = clock.nowMs() - askedMs > startWindowMs;
     if (started === undefined || isLate || !routingState.isFresh()) {
       counters.add('lot.windowMissed');
-      return calls.giveBack(item.offer);
+      return calls.returnLease(item.offer);
     }
     await this.#send(item, address);
   }
@@ -77,7 +77,7 @@
     const { replicas, slotPool, calls, counters } = this.#options;
     const { offer, service } = item;
     const id = check(TaskId, `${offer.ref.batch}.${offer.ref.position}.${leaseKey(offer.lease)}`);
-    if (!id.ok) return calls.giveBack(offer);
+    if (!id.ok) return calls.returnLease(offer);
     const pieces: string[] = [];
     const end = await replicas.run(
       { id: id.value, service: offer.service, rule: service, address, input: offer.input },
@@ -92,7 +92,7 @@
     }
     slotPool.hurt(address);
     const hasNotRun = end.kind === 'unsent' || (end.kind === 'status' && service.notRun.includes(end.status));
-    if (hasNotRun) return calls.giveBack(offer);
+    if (hasNotRun) return calls.returnLease(offer);
     if (service.idempotent) await calls.release(offer, { tried: true });
     else await calls.close(offer, 'FAILED', JSON.stringify({ error: 'outcome unknown: the replica may have run it' }));
     this.#settle(item, end);
--- a/programs/proxy/src/batch-runner/responseHeadEnd.ts
+++ b/programs/proxy/src/batch-runner/responseHeadEnd.ts
@@ -11,7 +11,7 @@
   }
   if (headerOf(headers, seal) === undefined || headerOf(headers, 'content-encoding') !== undefined)
     return { kind: 'broken', reason: 'a success without its seal' };
-  // Without a length or chunks a complete response cannot be told from one that was cut short.
+  // Without a length or chunks a complete response cannot be distinguished from one that was cut short.
   if (headerOf(headers, 'content-length') === undefined && headerOf(headers, 'transfer-encoding') === undefined)
     return { kind: 'broken', reason: 'the return has no end mark' };
   return undefined;
--- a/programs/proxy/src/front-proxy/frontProxy.ts
+++ b/programs/proxy/src/front-proxy/frontProxy.ts
@@ -141,7 +141,7 @@
       seeds: this.#options.seeds ?? [],
       stateTable: this.routingState.stateTable,
       heartbeatMs,
-      take: (updates) => this.#apply(updates),
+      apply: (updates) => this.#apply(updates),
     });
   }
 
@@ -166,13 +166,13 @@
     this.#options.transport.serve(agentCalls.lease, async ({ term, offers }) => {
       const currentTerm = this.routingState.tables.singletonRole?.term ?? 0;
       if (term < currentTerm || this.#leaving) return { taken: false, term: currentTerm };
-      this.#components.runner.take(offers);
+      this.#components.runner.accept(offers);
       return { taken: true, term };
     });
   }
 
   #apply(updates: readonly Update[]): void {
-    this.routingState.take(updates);
+    this.routingState.apply(updates);
     this.#components.slotPool.heard();
     this.selector.heard();
     this.#tablesChanged();
--- a/programs/proxy/src/front-proxy/replicaAnnouncements.ts
+++ b/programs/proxy/src/front-proxy/replicaAnnouncements.ts
@@ -37,7 +37,7 @@
       return objection;
     }
     const update = this.#updateOf(replica);
-    routingState.take([update]);
+    routingState.apply([update]);
     changed();
     this.#unacknowledged.set(update.key, update);
     void this.send();
--- a/programs/proxy/src/server/eventStreamResponse.ts
+++ b/programs/proxy/src/server/eventStreamResponse.ts
@@ -25,7 +25,7 @@
     if (raw.writableLength > maxUnreadBytes) raw.destroy();
   }
 
-  /** Ends the stream with an explicit event: without one a caller could not tell a whole stream from one cut short. */
+  /** Ends the stream with an explicit event: without one a caller could not distinguish a complete stream from one cut short. */
   close(): void {
     this.#begin();
     this.#reply.raw.end('event: close\ndata: {}\n\n');
--- a/programs/proxy/src/startProxy.ts
+++ b/programs/proxy/src/startProxy.ts
@@ -40,13 +40,8 @@
   const log = nodeLog(`${bootSettings.name}/proxy`, bootSettings.logLevel);
   const timeline = new StartupTimeline({ clock, log });
   timeline.reach('settings read');
-  const transport = new TcpTransport({
-    here: bootSettings.advertise ?? bootSettings.listen,
-    listen: bootSettings.listen,
-    fleet: bootSettings.fleet,
-    clock,
-    counters,
-  });
+  const { listen, advertise, fleet } = bootSettings;
+  const transport = new TcpTransport({ here: advertise ?? listen, listen, fleet, clock, counters });
   const replicas = new HttpReplicaTransport(clock);
   const instance = randomUUID();
   const proxy = new FrontProxy({
--- a/programs/proxy/src/updates/initialUpdate.ts
+++ b/programs/proxy/src/updates/initialUpdate.ts
@@ -14,7 +14,7 @@
   readonly seeds: readonly Address[];
   readonly stateTable: StateTable;
   readonly heartbeatMs: number;
-  readonly take: (updates: readonly Update[]) => void;
+  readonly apply: (updates: readonly Update[]) => void;
 }
 
 /** How often in a heartbeat a controller is asked: while all nodes start together, the first ones have no updates yet. */
@@ -54,7 +54,7 @@
   }
 
   async #fetch(): Promise<void> {
-    const { transport, counters, stateTable, heartbeatMs, seeds, take } = this.#options;
+    const { transport, counters, stateTable, heartbeatMs, seeds, apply: take } = this.#options;
     const seed = seeds[this.#requests % seeds.length];
     this.#requests += 1;
     if (this.#closed || seed === undefined || this.#pending.has(seed)) return;
--- a/programs/proxy/src/updates/routingState.ts
+++ b/programs/proxy/src/updates/routingState.ts
@@ -83,7 +83,7 @@
   }
 
   /** Applies the updates that are newer than what is held, and derives the tables anew where they may have changed. */
-  take(updates: readonly Update[]): void {
+  apply(updates: readonly Update[]): void {
     const applied: Update[] = [];
     for (const sent of updates) {
       // A change to a version that is not held here is skipped: the agent sees that by the checksum and sends everything.
--- a/programs/proxy/test/batchApi.test.ts
+++ b/programs/proxy/test/batchApi.test.ts
@@ -12,6 +12,8 @@
 const id = `lot_${'0'.repeat(32)}`;
 const counts = { COMPLETED: 1 };
 const view = v.parse(BatchView, { id, quota: 'north', service: 's', bodyHash: 'h', createdMs: 5, ended: false, items: 1, counts });
+/** The fields that both forms have, as they stand in a response. */
+const middleText = '"service":"s","bodyHash":"h","createdMs":5,"ended":false,"items":1,"counts":{"COMPLETED":1}';
 const results = [
   v.parse(ResultView, { id: 'a', position: 0, state: 'COMPLETED', result: '{"x":1}' }),
   v.parse(ResultView, { id: 'b', position: 1, state: 'FAILED', result: 'no JSON' }),
@@ -51,7 +53,7 @@
       payload: body,
     });
     expect([submitted.statusCode, submitted.headers.location, submitted.body]).toEqual([201, `/v1/batches/${id}`, `{"id":"${id}"}`]);
-    const viewText = `{"id":"${id}","quota":"north","service":"s","bodyHash":"h","createdMs":5,"ended":false,"items":1,"counts":{"COMPLETED":1}}`;
+    const viewText = `{"id":"${id}","quota":"north",${middleText}}`;
     expect((await app.inject(`/v1/batches/${id}`)).body).toEqual(viewText);
     const page = await app.inject(`/v1/batches/${id}/results?after=1&limit=2`);
     expect(page.body).toEqual(
@@ -71,7 +73,7 @@
     const headers = { branch: 'north', 'idempotency-key': 'k' };
     const submitted = await app.inject({ method: 'POST', url: '/v1/lots', headers, payload: body });
     expect([submitted.statusCode, submitted.headers.location, submitted.body]).toEqual([201, `/v1/lots/${id}`, `{"id":"${id}"}`]);
-    const viewText = `{"id":"${id}","service":"s","bodyHash":"h","createdMs":5,"ended":false,"items":1,"counts":{"COMPLETED":1},"branch":"north"}`;
+    const viewText = `{"id":"${id}",${middleText},"branch":"north"}`;
     expect((await app.inject(`/v1/lots/${id}`)).body).toEqual(viewText);
     const page = await app.inject(`/v1/lots/${id}/results?after=1&most=2`);
     expect(page.body).toEqual(
--- a/programs/proxy/test/deadFront.test.ts
+++ b/programs/proxy/test/deadFront.test.ts
@@ -15,11 +15,11 @@
 });
 const replica = { service: 's', address: '127.0.0.9:80', slots: 4, incarnation: 1, instance: 'one', state: 'serving' };
 
-describe('a front that died', () => {
-  it('uses nothing any more, and is no front among those that share connections', () => {
+describe('the load of a proxy that is gone', () => {
+  it('is not counted any more, nor is the proxy among those that share connections', () => {
     const clock = { nowMs: () => 0, wallMs: () => 0, after: () => () => undefined };
-    const routingState = new RoutingState({ front: v.parse(NodeName, 'front-1'), instance: 'here', clock });
-    routingState.take([
+    const routingState = new RoutingState({ front: v.parse(NodeName, 'front-1'), instance: 'one', clock });
+    routingState.apply([
       update(updateKeys.configuration, { version: 1, configuration }),
       update(updateKeys.replica('s', 'one'), replica),
       update(updateKeys.use('front-1'), {}),
@@ -28,7 +28,7 @@
     ]);
     const seen = () => [routingState.tables.fronts, routingState.tables.replicas.get('s')?.[0]?.others];
     expect(seen()).toEqual([2, 3]);
-    routingState.take([update(updateKeys.node('front-2'), nodeRecord('gone'), 2)]);
+    routingState.apply([update(updateKeys.node('front-2'), nodeRecord('gone'), 2)]);
     expect(seen()).toEqual([1, 0]);
   });
 });
--- a/programs/proxy/test/proxyHandler.property.test.ts
+++ b/programs/proxy/test/proxyHandler.property.test.ts
@@ -69,7 +69,7 @@
       routes,
       joining: true,
     });
-    routingState.take([
+    routingState.apply([
       { key: 'setup', version: [1, 0], volatile: false, value: { version: 1, configuration } },
       ...Array.from({ length: replicas }, (_, number) => ({
         key: `replica/s/life-${number}`,
--- a/programs/proxy/test/proxyHandler.test.ts
+++ b/programs/proxy/test/proxyHandler.test.ts
@@ -93,7 +93,7 @@
   it('go on after a connect that failed, which sent nothing', async () => {
     const front = await TestFront.open((socket, head) => socket.write(answer(head, '200 OK', 'seal: x\r\n', 'ok')));
     const value = { service: 's', address: '127.0.0.1:1', slots: 4, incarnation: 1, instance: 'gone', state: 'serving' };
-    front.routingState.take([{ key: 'replica/s/gone', version: [1, 0], volatile: false, value }]);
+    front.routingState.apply([{ key: 'replica/s/gone', version: [1, 0], volatile: false, value }]);
     for (const id of ['t1', 't2', 't3']) expect(statusOf(await front.send('/w/', id))).toEqual('200');
     await front.close();
   });
--- a/programs/proxy/test/proxyServer.test.ts
+++ b/programs/proxy/test/proxyServer.test.ts
@@ -8,7 +8,7 @@
 const statusOf = (response: string): string => response.slice(9, 12);
 
 describe('the server of opaque tasks', () => {
-  it('bounds heads and bodies, and nothing that a caller sends ends it', async () => {
+  it('limits headers and bodies, and survives anything that a caller sends', async () => {
     const front = await TestFront.open(answered);
     const task = 'POST /w/ HTTP/1.1\r\nhost: a.example\r\ntask-id: t\r\nconnection: close\r\n';
     expect(statusOf(await front.raw(`${task}x: ${'y'.repeat(20_000)}\r\n\r\n`))).toEqual('431');
@@ -22,7 +22,7 @@
     await front.close();
   });
 
-  it('keeps one connection to a replica for tasks that follow each other, and takes the task along when its client leaves', async () => {
+  it('reuses one connection to a replica for consecutive tasks, and aborts a task whose client leaves', async () => {
     const front = await TestFront.open((socket, head, nth) => {
       if (nth < 4) answered(socket, head);
       else front.leave();
@@ -37,7 +37,7 @@
   const pipelined = (path: string, id: string, more = ''): string =>
     `POST ${path} HTTP/1.1\r\nhost: a.example\r\ntask-id: ${id}\r\nexpiry-ms: 5000\r\n${more}content-length: 2\r\n\r\nhi`;
 
-  it('begins a request that was sent behind another one only after that one has its return', async () => {
+  it('begins a pipelined request only after the response to the one before it is complete', async () => {
     const release: (() => void)[] = [];
     const front = await TestFront.open((socket, head) => release.push(() => answered(socket, head)));
     const response = front.raw(pipelined('/w/', '1') + pipelined('/w/', '2', 'connection: close\r\n'));
@@ -52,7 +52,7 @@
     await front.close();
   });
 
-  it('sends nothing of a request behind a return that closes the connection: its downstream takes it for unread', async () => {
+  it('drops a pipelined request behind a response that closes the connection: its downstream takes it for unread', async () => {
     const cut = 'HTTP/1.1 200 OK\r\nseal: x\r\ntransfer-encoding: chunked\r\n';
     const front = await TestFront.open((socket, head) =>
       socket.end(`${cut}task-id: ${/task-id: (\S+)/i.exec(head)?.[1]}\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n`),
@@ -63,7 +63,7 @@
     await front.close();
   });
 
-  it('never takes a refusal of the bytes behind a whole request for its return', async () => {
+  it('never sends an error for the bytes behind a complete request as the response to it', async () => {
     const front = await TestFront.open(answered);
     const response = await front.raw(`${pipelined('/w/', '1')}\u0000\u0001 nothing\r\n\r\n`);
     expect(response).toEqual('');
--- a/programs/proxy/test/replicaSelector.test.ts
+++ b/programs/proxy/test/replicaSelector.test.ts
@@ -18,7 +18,7 @@
     quotas: {},
     joining: true,
   });
-  routingState.take([
+  routingState.apply([
     { key: 'setup', version: [1, 0], volatile: false, value: { version: 1, configuration } },
     ...Array.from({ length: 6 }, (_, at) => ({
       key: `replica/s/life-${at}`,
--- a/programs/proxy/test/routingState.test.ts
+++ b/programs/proxy/test/routingState.test.ts
@@ -21,25 +21,25 @@
 });
 const nodeRecord = (name: string, state: string) => ({ name, role: 'agent', zone: 'z', address: '127.0.0.2:7000', state });
 
-describe('what a proxy makes of its news', () => {
-  it('is that other fronts use what they last said, those that are away nothing', () => {
+describe('the load of other proxies in the routing state', () => {
+  it('is what each reported last, and nothing for those that are gone', () => {
     const routingState = new RoutingState({ front: v.parse(NodeName, 'front-1'), instance: 'l', clock: new SystemClock() });
     const known = () => [routingState.tables.replicas.get('s')?.[0]?.others, routingState.tables.fronts];
-    routingState.take([update('setup', 0, { version: 1, configuration }), update('replica/s/life-1', 0, replica)]);
+    routingState.apply([update('setup', 0, { version: 1, configuration }), update('replica/s/life-1', 0, replica)]);
     expect(known()).toEqual([0, 1]);
-    routingState.take([
+    routingState.apply([
       update('use/front-1', 1, { [address]: 9 }),
       update('use/front-2', 1, { [address]: 2 }),
       update('use/front-3', 1, { [address]: 3 }),
     ]);
     expect(known()).toEqual([5, 3]);
-    routingState.take([update('use/front-2', 2, { [address]: 1 })]);
+    routingState.apply([update('use/front-2', 2, { [address]: 1 })]);
     expect(known()).toEqual([4, 3]);
-    routingState.take([update('node/front-3', 1, nodeRecord('front-3', 'gone'))]);
+    routingState.apply([update('node/front-3', 1, nodeRecord('front-3', 'gone'))]);
     expect(known()).toEqual([1, 2]);
-    routingState.take([update('node/front-3', 2, nodeRecord('front-3', 'here'))]);
+    routingState.apply([update('node/front-3', 2, nodeRecord('front-3', 'here'))]);
     expect(known()).toEqual([4, 3]);
-    routingState.take([update('use/front-2', 3, {}), update('use/front-3', 2, {})]);
+    routingState.apply([update('use/front-2', 3, {}), update('use/front-3', 2, {})]);
     expect(known()).toEqual([0, 3]);
   });
 });
--- a/programs/proxy/test/testFront.ts
+++ b/programs/proxy/test/testFront.ts
@@ -74,7 +74,7 @@
   }
 
   learn(): void {
-    this.routingState.take(this.#updates);
+    this.routingState.apply(this.#updates);
     this.#proxyHandler?.look();
   }
 
--- a/testing/simulator/src/slopes.ts
+++ b/testing/simulator/src/slopes.ts
@@ -170,19 +170,19 @@
   const clock = new SystemClock();
   const routingState = new RoutingState({ front: v.parse(NodeName, 'f0'), instance: 'l', clock });
   const configuration = v.parse(Configuration, configurationText(620));
-  routingState.take([{ key: updateKeys.configuration, version: [1, 0], volatile: false, value: { version: 1, configuration } }]);
+  routingState.apply([{ key: updateKeys.configuration, version: [1, 0], volatile: false, value: { version: 1, configuration } }]);
   const host = (at: number): string => `10.0.${Math.floor(at / 200)}.${(at % 200) + 1}`;
   const replica = (at: number) => {
     const address = `${host(Math.floor(at / 6))}:${9000 + (at % 6)}`;
     return { service: `m${at % 12}`, address, zone: 'z', slots: 16, incarnation: 1, state: 'serving' };
   };
   const rows = Array.from({ length: fronts * 6 }, (_, at) => replica(at));
-  routingState.take(
+  routingState.apply(
     rows.map((row) => ({ key: updateKeys.replica(row.service, row.address), version: [1, 0], volatile: false, value: row })),
   );
   const use = (front: number) =>
     Object.fromEntries(Array.from({ length: 8 }, (_, step) => [rows[(front * 31 + step * 7) % rows.length]?.address ?? '', 1]));
-  routingState.take(
+  routingState.apply(
     Array.from({ length: fronts }, (_, at) => ({ key: updateKeys.use(`f${at}`), version: [1, 0], volatile: true, value: use(at) })),
   );
   const held = heapBytes() - before;
--- a/testing/simulator/test/initialUpdate.test.ts
+++ b/testing/simulator/test/initialUpdate.test.ts
@@ -38,7 +38,7 @@
     seeds,
     stateTable,
     heartbeatMs,
-    take: (updates) => take([...updates]),
+    apply: (updates) => take([...updates]),
   });
   return { stateTable, counters, initialUpdate, run };
 }
