--- a/programs/proxy/src/quota/localQuota.ts
+++ b/programs/proxy/src/quota/localQuota.ts
@@ -1,14 +1,30 @@
-import type { QuotaGrant, QuotaRequest } from '@pewterlanding/agent';
-import type { QuotaName } from '@pewterlanding/model';
-import type { Cost, Taken } from '@pewterlanding/rate-limit';
 import { every } from '@pewterlanding/runtime';
+import type { QuotaName } from '@pewterlanding/model';
 import type { Clock, Counters } from '@pewterlanding/runtime';
-import { QuotaBalance } from './quotaBalance.js';
+import type { QuotaRequest, QuotaGrant } from '@pewterlanding/agent';
+import { LocalAllowance, shareOf, takeBoth } from '@pewterlanding/rate-limit';
+import type { Cost, Taken } from '@pewterlanding/rate-limit';
+
+interface Waiter {
+  readonly cost: Cost;
+  readonly untilMs: number;
+  readonly take: (taken: Taken) => void;
+}
+
+interface Balance {
+  requests: number;
+  tokens: number;
+  /** Spent since the last request, and a moving average of it. */
+  spent: Cost;
+  mean: Cost;
+  usedMs: number;
+  waiters: Waiter[];
+  fallback: LocalAllowance | undefined;
+}
 
 interface LocalQuotaOptions {
   readonly clock: Clock;
   readonly counters: Counters;
-  /** Between two requests while any quota is in use here. */
   readonly requestIntervalMs: number;
   /** Limit on the time between two requests: they also carry the proxy's leases and live tasks. */
   readonly maxRequestIntervalMs: number;
@@ -19,15 +35,10 @@
   readonly fallbackRate: (quota: QuotaName) => Cost | undefined;
 }
 
-type RequestBody = Pick<QuotaRequest, 'requested' | 'returned'>;
-
-/** A quota not used for so many multiples of `fallbackAfterMs` is returned. */
-const usedRatio = 2;
-
 /** Quota that this proxy holds: granted in small amounts by the counter, or a fixed share while the counter is unreachable. */
 export class LocalQuota {
   readonly #options: LocalQuotaOptions;
-  readonly #balances = new Map<QuotaName, QuotaBalance>();
+  readonly #balances = new Map<QuotaName, Balance>();
   readonly #stop: () => void;
   #grantedAtMs: number;
   #requestedAtMs = Number.NEGATIVE_INFINITY;
@@ -39,7 +50,6 @@
     this.#stop = every(options.clock, options.requestIntervalMs, () => this.#requestIfDue());
   }
 
-  /** Whether the counter has been unreachable for so long that the fallback rate is spent. */
   get isOnFallback(): boolean {
     return this.#options.clock.nowMs() - this.#grantedAtMs > this.#options.fallbackAfterMs;
   }
@@ -51,122 +61,160 @@
   /** Spends a task's cost. Rejects it as soon as there is known to be none, and waits only while that is not known. */
   take(quota: QuotaName, cost: Cost, waitMs: number): Promise<Taken> {
     const balance = this.#balanceOf(quota);
-    const nowMs = this.#options.clock.nowMs();
-    if (!balance.hasWaiters && this.#spend(quota, balance, cost, nowMs)) return Promise.resolve({ ok: true });
+    const now = this.#options.clock.nowMs();
+    if (balance.waiters.length === 0 && this.#spend(quota, balance, cost, now)) return Promise.resolve({ ok: true });
     if (this.isOnFallback) {
       this.#options.counters.add('slices.aloneRefused');
-      const retryAfterMs = balance.fallbackRetryAfterMs(cost) ?? this.#options.fallbackAfterMs;
+      const retryAfterMs = balance.fallback?.retryAfterMs(cost) ?? this.#options.fallbackAfterMs;
       return Promise.resolve({ ok: false, retryAfterMs: Math.max(1, retryAfterMs) });
     }
-    return new Promise((resolve) => {
-      balance.wait({ cost, untilMs: nowMs + waitMs, resolve });
+    return new Promise((take) => {
+      balance.waiters.push({ cost, untilMs: now + waitMs, take });
       void this.#request();
     });
   }
 
   /** Refunds the cost of a task that did not run. */
   put(quota: QuotaName, cost: Cost): void {
-    this.#balanceOf(quota).add(cost);
+    const balance = this.#balanceOf(quota);
+    balance.requests += cost.requests;
+    balance.tokens += cost.tokens;
   }
 
   /** Adds the difference between the tokens estimated and used, which may be negative. */
   settle(quota: QuotaName, tokens: number): void {
-    this.#balanceOf(quota).add({ requests: 0, tokens });
+    this.#balanceOf(quota).tokens += tokens;
   }
 
-  /** Without any quota in use, requests are sent only as often as the proxy must be heard. */
+  /** Without any quota in use, requests are sent only as often as the counter must hear of the proxy. */
   #requestIfDue(): Promise<void> {
     const { clock, maxRequestIntervalMs, requestIntervalMs } = this.#options;
-    const sinceMs = clock.nowMs() - this.#requestedAtMs;
-    if (this.#balances.size === 0 && sinceMs < maxRequestIntervalMs - requestIntervalMs / 2) return Promise.resolve();
+    if (this.#balances.size === 0 && clock.nowMs() - this.#requestedAtMs < maxRequestIntervalMs - requestIntervalMs / 2)
+      return Promise.resolve();
     return this.#request();
   }
 
   async #request(): Promise<void> {
     if (this.#requestInFlight) return;
     this.#requestInFlight = true;
-    const { clock, request, counters } = this.#options;
     try {
       const { requested, returned } = this.#requestBody();
-      this.#requestedAtMs = clock.nowMs();
-      const grant = await request(requested, returned);
-      this.#grantedAtMs = clock.nowMs();
-      for (const { quota, granted, retryAfterMs } of grant.granted) this.#add(quota, granted, retryAfterMs);
+      this.#requestedAtMs = this.#options.clock.nowMs();
+      const quotaGrant = await this.#options.request(requested, returned);
+      this.#grantedAtMs = this.#options.clock.nowMs();
+      for (const { quota, granted, retryAfterMs } of quotaGrant.granted) this.#take(quota, granted, retryAfterMs);
     } catch {
-      counters.add('slices.undrawn');
-      if (this.isOnFallback) this.#serveAllFromFallback();
+      this.#options.counters.add('slices.undrawn');
+      if (this.isOnFallback) for (const [quota, balance] of this.#balances) this.#serve(quota, balance, this.#options.fallbackAfterMs);
     } finally {
       this.#requestInFlight = false;
       this.#rejectExpired();
     }
   }
 
-  #requestBody(): RequestBody {
-    const nowMs = this.#options.clock.nowMs();
+  #requestBody(): { readonly requested: QuotaRequest['requested']; readonly returned: QuotaRequest['returned'] } {
+    const now = this.#options.clock.nowMs();
     const requested: QuotaRequest['requested'] = [];
     const returned: QuotaRequest['returned'] = [];
     for (const [quota, balance] of this.#balances) {
-      const next = balance.nextRequest();
+      balance.mean = {
+        requests: balance.mean.requests * 0.8 + balance.spent.requests * 0.2,
+        tokens: balance.mean.tokens * 0.8 + balance.spent.tokens * 0.2,
+      };
+      balance.spent = { requests: 0, tokens: 0 };
+      const waiting = balance.waiters.reduce(
+        (sum, { cost }) => ({ requests: sum.requests + cost.requests, tokens: sum.tokens + cost.tokens }),
+        { requests: 0, tokens: 0 },
+      );
+      // Two requests' worth ahead, so that most tasks find quota without waiting.
+      const desired = {
+        requests: Math.max(0, Math.ceil(waiting.requests + balance.mean.requests * 3 - balance.requests)),
+        tokens: Math.max(0, Math.ceil(waiting.tokens + balance.mean.tokens * 3 - balance.tokens)),
+      };
+      const first = balance.waiters[0]?.cost;
+      const minimum =
+        first === undefined
+          ? { requests: 0, tokens: 0 }
+          : {
+              requests: Math.max(0, Math.ceil(first.requests - balance.requests)),
+              tokens: Math.max(0, Math.ceil(first.tokens - balance.tokens)),
+            };
       // A quota in use is named even when nothing is desired: the counter must not lend its capacity to others.
-      const isUsed = balance.isUsed(nowMs, this.#options.fallbackAfterMs * usedRatio);
-      if (isUsed || next.desired.requests > 0 || next.desired.tokens > 0) requested.push(next);
-      if (isUsed || balance.hasWaiters) continue;
-      // What lies here unused is missing at other proxies.
-      const unused = balance.returnable();
-      if (unused === undefined) continue;
-      returned.push(unused);
-      this.#balances.delete(quota);
+      const used = now - balance.usedMs < this.#options.fallbackAfterMs * 2;
+      if (used || desired.requests > 0 || desired.tokens > 0) requested.push({ quota, desired, minimum });
+      // Quota that is unused at this proxy is missing at others.
+      if (balance.waiters.length === 0 && !used && (balance.requests !== 0 || balance.tokens !== 0)) {
+        returned.push({ quota, returned: { requests: Math.floor(balance.requests), tokens: Math.floor(balance.tokens) } });
+        this.#balances.delete(quota);
+      }
     }
     return { requested, returned };
   }
 
-  #add(quota: QuotaName, granted: Cost, retryAfterMs: number): void {
+  #take(quota: QuotaName, granted: Cost, retryAfterMs: number): void {
     const balance = this.#balanceOf(quota);
-    balance.add(granted);
+    balance.requests += granted.requests;
+    balance.tokens += granted.tokens;
     this.#serve(quota, balance, retryAfterMs);
   }
 
-  #serveAllFromFallback(): void {
-    for (const [quota, balance] of this.#balances) this.#serve(quota, balance, this.#options.fallbackAfterMs);
-  }
-
   /** Serves waiting tasks in order. With `retryAfterMs` above 0 there is surely no more, and the rest are rejected with it. */
-  #serve(quota: QuotaName, balance: QuotaBalance, retryAfterMs: number): void {
-    const nowMs = this.#options.clock.nowMs();
-    for (let first = balance.firstWaiter; first !== undefined; first = balance.firstWaiter) {
-      const isServed = this.#spend(quota, balance, first.cost, nowMs);
-      if (!isServed && retryAfterMs <= 0) return;
-      balance.removeFirstWaiter();
-      first.resolve(isServed ? { ok: true } : { ok: false, retryAfterMs });
+  #serve(quota: QuotaName, balance: Balance, retryAfterMs: number): void {
+    const now = this.#options.clock.nowMs();
+    for (let first = balance.waiters[0]; first !== undefined; first = balance.waiters[0]) {
+      if (this.#spend(quota, balance, first.cost, now)) {
+        balance.waiters.shift();
+        first.take({ ok: true });
+      } else if (retryAfterMs > 0) {
+        balance.waiters.shift();
+        first.take({ ok: false, retryAfterMs });
+      } else return;
     }
   }
 
   #rejectExpired(): void {
-    const { clock, fallbackAfterMs } = this.#options;
-    const nowMs = clock.nowMs();
+    const now = this.#options.clock.nowMs();
     for (const balance of this.#balances.values()) {
-      for (const waiter of balance.removeExpiredWaiters(nowMs)) waiter.resolve({ ok: false, retryAfterMs: fallbackAfterMs });
+      const late = balance.waiters.filter((waiter) => waiter.untilMs <= now);
+      balance.waiters = balance.waiters.filter((waiter) => waiter.untilMs > now);
+      for (const waiter of late) waiter.take({ ok: false, retryAfterMs: this.#options.fallbackAfterMs });
     }
   }
 
-  #spend(quota: QuotaName, balance: QuotaBalance, cost: Cost, nowMs: number): boolean {
-    if (balance.spend(cost, nowMs)) return true;
-    return this.isOnFallback && this.#spendFallback(quota, balance, cost, nowMs);
+  #spend(quota: QuotaName, balance: Balance, cost: Cost, now: number): boolean {
+    if (balance.requests >= cost.requests && balance.tokens >= cost.tokens) {
+      balance.requests -= cost.requests;
+      balance.tokens -= cost.tokens;
+    } else if (!this.isOnFallback || !this.#spendFallback(quota, balance, cost, now)) return false;
+    balance.spent = { requests: balance.spent.requests + cost.requests, tokens: balance.spent.tokens + cost.tokens };
+    balance.usedMs = now;
+    return true;
   }
 
-  /** The counter sets the fallback shares aside for proxies that it does not hear. */
-  #spendFallback(quota: QuotaName, balance: QuotaBalance, cost: Cost, nowMs: number): boolean {
+  /** Spends the fallback rate by the counter's own rule; the counter sets as much aside for proxies that it does not hear. */
+  #spendFallback(quota: QuotaName, balance: Balance, cost: Cost, now: number): boolean {
     const rate = this.#options.fallbackRate(quota);
     if (rate === undefined) return false;
-    const isSpent = balance.spendFallback(cost, rate, nowMs);
-    if (isSpent) this.#options.counters.add('slices.alone');
-    return isSpent;
+    balance.fallback ??= new LocalAllowance(shareOf(rate, 0.1), rate, { requests: 0, tokens: 0 }, now);
+    balance.fallback.reshape(shareOf(rate, 0.1), rate, now);
+    const taken = takeBoth([balance.fallback], cost, now).ok;
+    if (taken) this.#options.counters.add('slices.alone');
+    return taken;
   }
 
-  #balanceOf(quota: QuotaName): QuotaBalance {
+  #balanceOf(quota: QuotaName): Balance {
     const known = this.#balances.get(quota);
     if (known !== undefined) return known;
-    const balance = new QuotaBalance(quota, this.#options.clock.nowMs());
+    const none = { requests: 0, tokens: 0 };
+    const balance: Balance = {
+      requests: 0,
+      tokens: 0,
+      spent: none,
+      mean: none,
+      usedMs: this.#options.clock.nowMs(),
+      waiters: [],
+      fallback: undefined,
+    };
     this.#balances.set(quota, balance);
     return balance;
   }
