--- a/programs/proxy/src/server/taskBody.ts
+++ b/programs/proxy/src/server/taskBody.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
 
-/** What a caller asks of a service. */
+/** The body of a live task. */
 export const TaskBody = v.strictObject({ input: v.unknown() });
+/** See the schema. */
 export type TaskBody = v.InferOutput<typeof TaskBody>;
--- /dev/null
+++ b/programs/proxy/src/updates/index.ts
@@ -0,0 +1,2 @@
+export * from './initialUpdate.js';
+export * from './routingState.js';
--- a/testing/simulator/src/mutation/mutations.ts
+++ b/testing/simulator/src/mutation/mutations.ts
@@ -89,7 +89,7 @@
     seeds: [1, 2, 3],
     ci: true,
     edits: [
-      { file: `${proxy}/updates/routingState.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
+      { file: `${proxy}/updates/announcedReplicas.js`, text: "replica?.state !== 'serving')", instead: 'replica === undefined)' },
       // A replica that says nothing more is left for last, which holds this rule too.
       { file: `${proxy}/selection/slotPool.js`, text: 'fitting.filter((row) => !row.late)', instead: 'fitting' },
     ],
@@ -107,12 +107,12 @@
         instead: "const rule = configuration.services[task.service] ?? configuration.services['memo'];",
       },
       {
-        file: `${proxy}/updates/routingState.js`,
-        text: 'this.#tables.configuration?.services[replica.service]',
-        instead: "(this.#tables.configuration?.services[replica.service] ?? this.#tables.configuration?.services['memo'])",
+        file: `${proxy}/updates/announcementRules.js`,
+        text: 'configuration?.services[replica.service]',
+        instead: "(configuration?.services[replica.service] ?? configuration?.services['memo'])",
       },
       {
-        file: `${proxy}/updates/routingState.js`,
+        file: `${proxy}/updates/announcedReplicas.js`,
         text: 'const rule = configuration.services[replica.service];',
         instead: "const rule = configuration.services[replica.service] ?? configuration.services['memo'];",
       },
@@ -133,7 +133,7 @@
     seeds: [1, 2, 3],
     edits: [
       {
-        file: `${proxy}/updates/routingState.js`,
+        file: `${proxy}/updates/freshness.js`,
         text: 'return this.#options.clock.nowMs() - this.#freshFromMs <= configuration.bounds.freshnessMs;',
         instead: 'return true;',
       },
@@ -208,7 +208,7 @@
     scenario: 'endedWhileFrozen',
     seeds: [1, 2, 3],
     ci: true,
-    edits: [{ file: `${proxy}/batch-runner/batchRunner.js`, text: 'if (started?.done === false)', instead: 'if (false)' }],
+    edits: [{ file: `${proxy}/batch-runner/ownItemRunner.js`, text: 'if (started?.done === false)', instead: 'if (false)' }],
   },
   {
     name: 'unreachableCandidateIsPassedOver',
--- a/testing/simulator/src/simulation/simReplicaTransport.ts
+++ b/testing/simulator/src/simulation/simReplicaTransport.ts
@@ -23,7 +23,8 @@
 const outputBytes = 200;
 /** How long a replica that is full keeps a task before it says so. */
 const busyMs = 300;
-const Input = v.object({ key: v.string(), quota: v.optional(v.string()) });
+/** What the simulated clients send; its length counts against quotas, so the field keeps the name that recorded histories used. */
+const Input = v.object({ key: v.string(), branch: v.optional(v.string()) });
 
 /** The way from a front to the simulated replicas. A run goes on at the replica whatever becomes of the front. */
 export class SimReplicaTransport implements ReplicaTransport {
@@ -113,7 +114,7 @@
       run,
       replica: replica.address,
       service: task.service,
-      quota: input.quota,
+      quota: input.branch,
       bytes: task.input.length + outputBytes,
     });
     const answer = (result: RunEnd): void => {
--- a/testing/simulator/test/opaqueBatches.test.ts
+++ b/testing/simulator/test/opaqueBatches.test.ts
@@ -110,12 +110,12 @@
       { events: [['6', 'c']], end: { kind: 'done' } },
     ];
     const { run, items, hand, read, front } = await fleetWith(() => scripts.shift() ?? { events: [], end: broken });
-    expect(await run.advanceUntilSettled(hand(1, 'l'), 2000)).toEqual({ kind: 'made' });
-    expect(await run.advanceUntilSettled(hand(2, 'l'), 2000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(hand(1, 'l'), 2000)).toEqual({ kind: 'accepted' });
+    expect(await run.advanceUntilSettled(hand(2, 'l'), 2000)).toEqual({ kind: 'accepted' });
     expect(await run.advanceUntilSettled(hand(3, 'l', [11]), 2000)).toEqual({
-      kind: 'refused',
+      kind: 'rejected',
       status: 409,
-      reason: 'this id was used for another lot',
+      reason: 'this id was used for another batch',
     });
     expect(await run.advanceUntilSettled(read(3, 'l', 1), 20_000)).toEqual(['l0 settled a\nb\nb\nc']);
     expect(items.resumes).toEqual([undefined, '5', '5', '5']);
@@ -138,8 +138,8 @@
       waitingTokens: 30,
     });
     const both = await run.advanceUntilSettled(Promise.all([hand(1, 'l', [10, 10]), hand(2, 'm', [10, 10])]), 2000);
-    expect(both.map((one) => (one.kind === 'refused' ? one.status : one.kind)).sort()).toEqual([429, 'made']);
-    const refused = both[0]?.kind === 'made' ? 'm' : 'l';
+    expect(both.map((one) => (one.kind === 'rejected' ? one.status : one.kind)).sort()).toEqual([429, 'accepted']);
+    const refused = both[0]?.kind === 'accepted' ? 'm' : 'l';
     await run.advance(5000);
     expect(items.attempts.filter(({ task }) => task.startsWith(refused))).toEqual([]);
     expect(items.attempts.length > 0).toEqual(true);
@@ -162,7 +162,7 @@
         ? { events: [], end: { kind: 'notRun', status: 503 } }
         : { events: [], end: { kind: 'status', status: task === 'l0' ? 500 : 422 } },
     );
-    expect(await run.advanceUntilSettled(hand(1, 'l', [1, 1, 1]), 2000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(hand(1, 'l', [1, 1, 1]), 2000)).toEqual({ kind: 'accepted' });
     expect(await run.advanceUntilSettled(read(2, 'l', 2), 20_000)).toEqual(['l2 abandoned ', 'l0 abandoned ']);
     expect(items.attempts.filter(({ task }) => task === 'l0').length).toEqual(2);
     expect(await run.advanceUntilSettled(run.changeConfiguration({ part: { routes: { r: null } } }), 20_000)).toEqual('confirmed');
@@ -177,7 +177,7 @@
     expect(await run.advanceUntilSettled(hand(1, 'l', [10], 700), 2000)).toEqual({ kind: 'unknown' });
     for (const name of stores) run.fleet.host(name).machine.wake();
     await run.advance(3000);
-    expect(await run.advanceUntilSettled(hand(2, 'l'), 5000)).toEqual({ kind: 'made' });
+    expect(await run.advanceUntilSettled(hand(2, 'l'), 5000)).toEqual({ kind: 'accepted' });
     expect(await run.advanceUntilSettled(read(3, 'l', 1), 20_000)).toEqual(['l0 settled x']);
   });
 });
