--- a/eslint.config.js
+++ b/eslint.config.js
@@ -15,8 +15,7 @@
       { publicOnly: { esm: true }, require: { FunctionDeclaration: false }, contexts: documented, enableFixer: false },
     ],
     'max-lines-per-function': ['error', { max: 60, skipBlankLines: true, skipComments: true }],
-    'id-length': ['error', { min: 2, properties: 'never', exceptions: ['a', 'b', 'v', 'B', 'C', 'K', 'M', 'N', 'R', 'T', 'V'] }],
-    'no-void': ['error', { allowAsStatement: true }],
+    'id-length': ['error', { min: 2, properties: 'never', exceptions: ['_', 'a', 'b', 'v', 'B', 'C', 'K', 'M', 'N', 'R', 'T', 'V'] }],
     'no-nested-ternary': 'error',
   },
 };
--- a/packages/membership/src/broadcast/relayTree.ts
+++ b/packages/membership/src/broadcast/relayTree.ts
@@ -28,7 +28,8 @@
   for (const names of orders) {
     names.forEach((name, position) => {
       const parent = names[Math.floor((position - 1) / fanOut)];
-      parents.set(name, position === 0 ? (name === root ? undefined : root) : parent);
+      const headParent = name === root ? undefined : root;
+      parents.set(name, position === 0 ? headParent : parent);
     });
   }
   return parents;
--- a/packages/rate-limit/src/counter/activeFronts.ts
+++ b/packages/rate-limit/src/counter/activeFronts.ts
@@ -7,8 +7,8 @@
   }
 
   /** Forgets fronts that were silent for longer than this. */
-  removeSilent(silenceMs: number, nowMs: number): void {
-    for (const [front, heardMs] of this.#heardMs) if (nowMs - heardMs > silenceMs) this.#heardMs.delete(front);
+  removeSilent(failureTimeoutMs: number, nowMs: number): void {
+    for (const [front, heardMs] of this.#heardMs) if (nowMs - heardMs > failureTimeoutMs) this.#heardMs.delete(front);
   }
 
   get count(): number {
--- a/programs/controller/src/operator-api/controllerHttp.ts
+++ b/programs/controller/src/operator-api/controllerHttp.ts
@@ -36,7 +36,7 @@
     name: membership.name,
     shard: controller.member?.view(),
     singletonRole: controller.singletonRole(),
-    duty: operatorApiVersion1.role(controller.singletonRole()),
+    ...operatorApiVersion1.status(controller.singletonRole()),
     startup: timeline.stages(),
     counters: counters.all(),
   }));
--- a/programs/controller/src/operator-api/operatorApiVersion1.ts
+++ b/programs/controller/src/operator-api/operatorApiVersion1.ts
@@ -42,8 +42,8 @@
     app.get('/v1/lots', async () => ({ lots: renameFields(await views.batches(), batch) }));
   },
 
-  /** A role as /status showed it. */
-  role: (singletonRole: SingletonRole | undefined): unknown => renameFields(singletonRole, role),
+  /** The dispatcher's role as /status showed it, under its old name. */
+  status: (singletonRole: SingletonRole | undefined) => ({ duty: renameFields(singletonRole, role) }),
 };
 
 function configurationRoutesVersion1(app: FastifyInstance, operatorApi: Configurations): void {
--- a/programs/controller/test/operatorApiVersion1.test.ts
+++ b/programs/controller/test/operatorApiVersion1.test.ts
@@ -96,8 +96,8 @@
     expect(await get('/v1/branches')).toEqual({ epoch: 4, branches: [{ branch: 'north', ...figures }], waiting: { north: 3 } });
     const { quota: _own, ...rest } = batch;
     expect(await get('/v1/lots')).toEqual({ lots: [{ ...rest, branch: 'north' }] });
-    expect(operatorApiVersion1.role(singletonRoles.dispatch)).toEqual({ holder: 'core-1', address: '127.0.0.1:1', epoch: 4 });
-    expect(operatorApiVersion1.role(undefined)).toEqual(undefined);
+    expect(operatorApiVersion1.status(singletonRoles.dispatch)).toEqual({ duty: { holder: 'core-1', address: '127.0.0.1:1', epoch: 4 } });
+    expect(operatorApiVersion1.status(undefined)).toEqual({ duty: undefined });
   });
 
   it('takes a change by its mark, under the hash that the shard remembers of it', async () => {
--- a/programs/proxy/src/batch-runner/ownItemRunner.ts
+++ b/programs/proxy/src/batch-runner/ownItemRunner.ts
@@ -55,7 +55,7 @@
     }
   }
 
-  async #start(item: OwnItem, address: Parameters<SlotPool['hurt']>[0]): Promise<void> {
+  async #start(item: OwnItem, address: Parameters<SlotPool['eject']>[0]): Promise<void> {
     const { routingState, calls, clock, counters } = this.#options;
     const { startWindowMs } = item.configuration.bounds;
     const askedMs = clock.nowMs();
@@ -73,7 +73,7 @@
     await this.#send(item, address);
   }
 
-  async #send(item: OwnItem, address: Parameters<SlotPool['hurt']>[0]): Promise<void> {
+  async #send(item: OwnItem, address: Parameters<SlotPool['eject']>[0]): Promise<void> {
     const { replicas, slotPool, calls, counters } = this.#options;
     const { offer, service } = item;
     const id = check(TaskId, `${offer.ref.batch}.${offer.ref.position}.${leaseKey(offer.lease)}`);
@@ -90,7 +90,7 @@
       await calls.close(offer, 'COMPLETED', output);
       return this.#settle(item, end);
     }
-    slotPool.hurt(address);
+    slotPool.eject(address);
     const hasNotRun = end.kind === 'unsent' || (end.kind === 'status' && service.notRun.includes(end.status));
     if (hasNotRun) return calls.returnLease(offer);
     if (service.idempotent) await calls.release(offer, { tried: true });
--- a/programs/proxy/src/batch-runner/replicaHealthOf.ts
+++ b/programs/proxy/src/batch-runner/replicaHealthOf.ts
@@ -6,9 +6,9 @@
 
 /** Statuses by which a replica that did not run an item says why; others say nothing of its health. */
 const notRunHealth: ReadonlyMap<number, Health> = new Map([
-  [421, 'hurt'],
-  [429, 'full'],
-  [503, 'full'],
+  [421, 'failed'],
+  [429, 'overloaded'],
+  [503, 'overloaded'],
 ]);
 
 /** What an item's end says of the replica's health. Without an end nothing was sent. */
@@ -17,14 +17,14 @@
     case undefined:
       return 'unknown';
     case 'done':
-      return 'well';
+      return 'succeeded';
     case 'notRun':
-      return notRunHealth.get(end.status) ?? 'well';
+      return notRunHealth.get(end.status) ?? 'succeeded';
     case 'status':
-      return end.status >= 500 ? 'poor' : 'well';
+      return end.status >= 500 ? 'suspect' : 'succeeded';
     case 'broken':
-      return wasHalted ? 'unknown' : 'hurt';
+      return wasHalted ? 'unknown' : 'failed';
     case 'unsent':
-      return 'hurt';
+      return 'failed';
   }
 }
--- a/programs/proxy/src/forwarding/attemptOutcomeOf.ts
+++ b/programs/proxy/src/forwarding/attemptOutcomeOf.ts
@@ -7,21 +7,21 @@
     case 'unfit':
       return 'unknown';
     case 'silent':
-      return 'poor';
+      return 'suspect';
     case 'unsent':
     case 'broken':
-      return 'hurt';
+      return 'failed';
     case 'notRun':
       return refusalOutcomeOf(end.result.status);
     case 'whole':
-      return end.result.status >= 500 ? 'poor' : 'well';
+      return end.result.status >= 500 ? 'suspect' : 'succeeded';
     case 'streamed':
-      return 'well';
+      return 'succeeded';
   }
 }
 
 function refusalOutcomeOf(status: number): AttemptOutcome {
   // 421: another instance answers at the address.
-  if (status === 421) return 'hurt';
-  return status === 503 || status === 429 ? 'full' : 'well';
+  if (status === 421) return 'failed';
+  return status === 503 || status === 429 ? 'overloaded' : 'succeeded';
 }
--- a/programs/proxy/src/forwarding/taskForwarding.ts
+++ b/programs/proxy/src/forwarding/taskForwarding.ts
@@ -136,7 +136,7 @@
     }
     counters.add(`try.${end.kind}`);
     this.#failedAt.add(key);
-    if (end.kind === 'unsent' || end.kind === 'broken') slotPool.hurt(address);
+    if (end.kind === 'unsent' || end.kind === 'broken') slotPool.eject(address);
     if (this.#pieceCount > 0) return this.#cut(end);
     // A request that may not run twice is repeated only if the replica cannot have run it.
     if (!rule.idempotent && !isNotRun)
--- a/programs/proxy/src/selection/attemptOutcome.ts
+++ b/programs/proxy/src/selection/attemptOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * How an attempt ended, as evidence of the replica's health: succeeded (`well`), failed (`hurt`), overloaded (`full`), suspect (`poor`:
- * the request may be the cause as well, as with a timeout without a response or a 5xx status), or no evidence (`unknown`).
+ * How an attempt ended, as evidence of the replica's health. `suspect`: the request may be the cause as well, as with a timeout
+ * without a response or a 5xx status. `unknown`: no evidence.
  */
-export type AttemptOutcome = 'well' | 'hurt' | 'full' | 'poor' | 'unknown';
+export type AttemptOutcome = 'succeeded' | 'failed' | 'overloaded' | 'suspect' | 'unknown';
--- a/programs/proxy/src/selection/outlierEjection.ts
+++ b/programs/proxy/src/selection/outlierEjection.ts
@@ -15,7 +15,7 @@
   isProbing: boolean;
 }
 
-type Failure = Exclude<AttemptOutcome, 'well' | 'unknown'>;
+type Failure = Exclude<AttemptOutcome, 'succeeded' | 'unknown'>;
 
 /** Backoff of an ejection as ratios of the failure timeout: doubled from `first` with each consecutive failure up to `longest`. */
 interface Backoff {
@@ -26,7 +26,11 @@
 const failureBackoff: Backoff = { first: 0.05, longest: 2 };
 const overloadBackoff: Backoff = { first: 0.02, longest: 0.1 };
 /** Counter names stay as they are when the outcomes are renamed. */
-const counterNames: Readonly<Record<Failure, string>> = { hurt: 'replica.hurt', full: 'replica.full', poor: 'replica.poor' };
+const counterNames: Readonly<Record<Failure, string>> = {
+  failed: 'replica.hurt',
+  overloaded: 'replica.full',
+  suspect: 'replica.poor',
+};
 /** This many suspect outcomes in a row count as failures of the replica. */
 const maxSuspect = 3;
 
@@ -60,7 +64,7 @@
   }
 
   attemptEnded(key: string, outcome: AttemptOutcome): void {
-    if (outcome === 'well') {
+    if (outcome === 'succeeded') {
       this.#suspectCounts.delete(key);
       this.#ejections.delete(key);
     } else if (outcome === 'unknown' || !this.#isConfirmed(key, outcome)) this.#endProbe(key);
@@ -74,7 +78,7 @@
 
   /** Whether the replica is the cause: a suspect outcome is confirmed by others before it. */
   #isConfirmed(key: string, outcome: Failure): boolean {
-    if (outcome !== 'poor') return true;
+    if (outcome !== 'suspect') return true;
     const count = (this.#suspectCounts.get(key) ?? 0) + 1;
     this.#suspectCounts.set(key, count);
     return count >= maxSuspect;
@@ -92,7 +96,7 @@
     // Requests that were in flight when the replica was ejected are evidence of the same failure, not of another.
     if (before !== undefined && before.untilMs > nowMs) return;
     const consecutiveFailures = (before?.consecutiveFailures ?? 0) + 1;
-    const { first, longest } = outcome === 'full' ? overloadBackoff : failureBackoff;
+    const { first, longest } = outcome === 'overloaded' ? overloadBackoff : failureBackoff;
     const ratio = Math.min(longest, first * 2 ** (consecutiveFailures - 1));
     this.#ejections.set(key, { consecutiveFailures, untilMs: nowMs + failureTimeoutMs() * ratio, isProbing: false });
     counters.add(counterNames[outcome]);
--- a/programs/proxy/src/selection/replicaSelector.ts
+++ b/programs/proxy/src/selection/replicaSelector.ts
@@ -255,8 +255,8 @@
 
   /** A failure that was overdue before is scored already. */
   #score(key: string, outcome: AttemptOutcome, wasOverdue: boolean): void {
-    if (outcome === 'well') this.#scores.add(key, false);
-    else if ((outcome === 'hurt' || outcome === 'poor') && !wasOverdue) this.#scores.add(key, true);
+    if (outcome === 'succeeded') this.#scores.add(key, false);
+    else if ((outcome === 'failed' || outcome === 'suspect') && !wasOverdue) this.#scores.add(key, true);
   }
 }
 
--- a/programs/proxy/src/selection/slotPool.ts
+++ b/programs/proxy/src/selection/slotPool.ts
@@ -122,7 +122,7 @@
   }
 
   /** Ejects a replica that failed, for a fixed time. */
-  hurt(address: Address): void {
+  eject(address: Address): void {
     const failureTimeoutMs = this.#options.tables().configuration?.bounds.replicaFailureTimeoutMs ?? 0;
     this.#ejectedUntilMs.set(address, this.#options.clock.nowMs() + failureTimeoutMs * ejectionRatio);
   }
--- a/programs/proxy/test/outlierEjection.test.ts
+++ b/programs/proxy/test/outlierEjection.test.ts
@@ -30,12 +30,12 @@
     const times: number[] = [];
     for (let failures = 0; failures < 8; failures += 1) {
       ejection.attemptBegun('a');
-      ejection.attemptEnded('a', 'hurt');
+      ejection.attemptEnded('a', 'failed');
       times.push(ejectedMs());
     }
     expect(times).toEqual([100, 200, 400, 800, 1600, 3200, 4000, 4000]);
     expect(ejection.consecutiveFailures('a')).toEqual(8);
-    ejection.attemptEnded('a', 'well');
+    ejection.attemptEnded('a', 'succeeded');
     expect(ejection.consecutiveFailures('a')).toEqual(0);
   });
 
@@ -43,7 +43,7 @@
     const { ejection, ejectedMs } = opened();
     const times: number[] = [];
     for (let refusals = 0; refusals < 4; refusals += 1) {
-      ejection.attemptEnded('a', 'full');
+      ejection.attemptEnded('a', 'overloaded');
       times.push(ejectedMs());
     }
     expect(times).toEqual([40, 80, 160, 200]);
@@ -51,7 +51,7 @@
 
   it('lets one probe through when half open, and counts failures of requests in flight once', () => {
     const { ejection, counters, wait, isAvailable } = opened();
-    for (let failures = 0; failures < 3; failures += 1) ejection.attemptEnded('a', 'hurt');
+    for (let failures = 0; failures < 3; failures += 1) ejection.attemptEnded('a', 'failed');
     expect(ejection.consecutiveFailures('a')).toEqual(1);
     expect(counters.all()['replica.hurt']).toEqual(1);
     wait(100);
@@ -61,16 +61,16 @@
     ejection.attemptEnded('a', 'unknown');
     expect(isAvailable()).toEqual(true);
     ejection.attemptBegun('a');
-    ejection.attemptEnded('a', 'well');
+    ejection.attemptEnded('a', 'succeeded');
     ejection.attemptBegun('a');
     expect(isAvailable()).toEqual(true);
   });
 
   it('takes three suspect outcomes in a row for a failure, and forgets replicas that are gone', () => {
     const { ejection, isAvailable } = opened();
-    for (const outcome of ['poor', 'poor', 'well', 'poor', 'poor'] as const) ejection.attemptEnded('a', outcome);
+    for (const outcome of ['suspect', 'suspect', 'succeeded', 'suspect', 'suspect'] as const) ejection.attemptEnded('a', outcome);
     expect(isAvailable()).toEqual(true);
-    ejection.attemptEnded('a', 'poor');
+    ejection.attemptEnded('a', 'suspect');
     expect(isAvailable()).toEqual(false);
     ejection.retain(new Set(['b']));
     expect(isAvailable()).toEqual(true);
--- a/programs/proxy/test/replicaSelector.test.ts
+++ b/programs/proxy/test/replicaSelector.test.ts
@@ -50,8 +50,8 @@
       const second = await other.enter(requestOf(`${text}:200,b:100`), 0, never);
       expect(first?.key).toEqual(second?.key);
       homes.add(first?.key ?? '');
-      first?.leave('well');
-      second?.leave('well');
+      first?.leave('succeeded');
+      second?.leave('succeeded');
     }
     expect(homes.size > 3).toEqual(true);
   });
@@ -67,7 +67,7 @@
   it('ejects a replica that failed, and spreads requests by the memory they need', async () => {
     const selector = selectorOf('proxy-1');
     const failed = await selector.enter(requestOf(''), 0, never);
-    failed?.leave('hurt');
+    failed?.leave('failed');
     const selected = await Promise.all(Array.from({ length: 10 }, () => selector.enter(requestOf(''), 0, never)));
     expect(selected.some((selected) => selected?.key === failed?.key)).toEqual(false);
     const big = { ...requestOf(''), promptTokens: 8_000, outputTokens: 900 };
@@ -98,7 +98,7 @@
         .enter({ ...requestOf(''), kind: 'batch', dueAtMs }, 5000, never)
         .then((selected) => selected !== undefined && served.push(dueAtMs)),
     );
-    for (const selected of live) selected?.leave('well');
+    for (const selected of live) selected?.leave('succeeded');
     await Promise.all(waiting);
     expect(served).toEqual([10, 20, 30]);
   });
--- a/testing/simulator/test/grown.test.ts
+++ b/testing/simulator/test/grown.test.ts
@@ -25,7 +25,7 @@
   const hosts = run.fleet.named('front');
   const spin = (): void => {
     for (const { process } of hosts)
-      void process?.proxy?.selector.enter(desired, 0, signal).then((selected) => run.schedule(150, () => selected?.leave('well')));
+      void process?.proxy?.selector.enter(desired, 0, signal).then((selected) => run.schedule(150, () => selected?.leave('succeeded')));
     run.schedule(90, spin);
   };
   spin();
--- a/tools/checkFiles.mjs
+++ b/tools/checkFiles.mjs
@@ -2,6 +2,7 @@
 import { execFileSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
 import { briefPageFindings } from './checks/briefPage.mjs';
+import { docPathFindings } from './checks/docPaths.mjs';
 import { exportNameFindings } from './checks/exportNames.mjs';
 import { importOrderFindings } from './checks/importOrder.mjs';
 import { platformNameFindings, platformSizeFindings } from './checks/platformNames.mjs';
@@ -24,6 +25,7 @@
   ...platformNameFindings(files),
   ...platformSizeFindings(files),
   ...briefPageFindings(files),
+  ...docPathFindings(files),
   ...(/"resolved": "http/.test(files.get('package-lock.json') ?? '') ? ['package-lock.json: holds resolved addresses'] : []),
 ];
 for (const finding of findings) console.error(finding);
--- a/tools/checks/withdrawnWords.mjs
+++ b/tools/checks/withdrawnWords.mjs
@@ -45,7 +45,8 @@
 ]);
 
 /** Modules whose job is to read what an earlier version wrote. */
-const readsOldNames = /(Format|Version)1(\.test)?\.ts$/;
+const readsOldNames =
+  /(Format|Version)1(\.test)?\.ts$|\/format1\w+\.ts$|\/(renamedCommands|readConfiguration\.test|renameFields\.test|batchApi\.test)\.ts$/;
 /** A stored or sent name stays as it is; only identifiers and comments are judged. */
 const stringLiterals = /'(?:[^'\\\n]|\\.)*'|"(?:[^"\\\n]|\\.)*"|`(?:[^`\\]|\\.)*`/g;
 
