--- a/tools/checks/doneFolders.mjs
+++ b/tools/checks/doneFolders.mjs
@@ -13,16 +13,4 @@
 ];
 
 /** Folders for which the linter's strict rules hold, on doc comments, lengths of functions and names. A folder is never taken off. */
-export const strictFolders = [
-  'packages/consensus/',
-  'packages/membership/',
-  'packages/model/',
-  'packages/runtime/',
-  'packages/rate-limit/',
-  'programs/store/',
-  'programs/agent/',
-  'programs/controller/',
-  'programs/proxy/',
-  'programs/pewterctl/',
-  'platform/',
-];
+export const strictFolders = [...doneFolders, 'platform/'];
