--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -3,5 +3,4 @@
 export * from './hashing/index.js';
 export * from './names/index.js';
 export * from './schema/index.js';
-export * from './schema/pewterError.js';
 export * from './services/index.js';
--- a/programs/proxy/src/forwarding/forwarder.ts
+++ b/programs/proxy/src/forwarding/forwarder.ts
@@ -65,7 +65,7 @@
   #admit(task: LiveTask): Admission | TaskReturn {
     const { routingState } = this.#options;
     const { configuration, tree, outputTokens } = routingState.tables;
-    if (configuration === undefined || !routingState.fresh())
+    if (configuration === undefined || !routingState.isFresh())
       return { kind: 'refused', status: 503, reason: 'this proxy is not ready', retryAfterMs: notReadyRetryMs };
     const quota = check(QuotaName, task.quota);
     if (!quota.ok || !tree.has(quota.value)) return { kind: 'refused', status: 403, reason: 'no such quota' };
--- a/programs/proxy/src/forwarding/planForwarding.ts
+++ b/programs/proxy/src/forwarding/planForwarding.ts
@@ -66,7 +66,7 @@
 
 function resolve({ routingState, headerNames }: PlanForwardingOptions, request: ProxiedRequest): Resolved | Refusal {
   const { configuration, routeTable } = routingState.tables;
-  if (configuration === undefined || !routingState.fresh())
+  if (configuration === undefined || !routingState.isFresh())
     return { kind: 'refused', status: 503, error: 'this proxy is not ready', retryAfterMs: notReadyRetryMs };
   const routeMatch = routeTable.find(request.host, request.url);
   if (routeMatch === undefined) return { kind: 'refused', status: 404, error: 'no route' };
--- a/programs/proxy/src/forwarding/proxyHandler.ts
+++ b/programs/proxy/src/forwarding/proxyHandler.ts
@@ -42,7 +42,7 @@
   constructor(options: ProxyHandlerOptions) {
     this.#options = options;
     const { clock, routingState, startMs = 0 } = options;
-    const ready = (): boolean => routingState.fresh() && routingState.tables.replicas.size > 0;
+    const ready = (): boolean => routingState.isFresh() && routingState.tables.replicas.size > 0;
     this.#registry = new AttemptRegistry(options);
     this.#responses = new ResponseSender(options);
     this.#gate = new StartGate({ clock, ready, patienceMs: startMs });
--- a/programs/proxy/src/forwarding/taskForwarding.ts
+++ b/programs/proxy/src/forwarding/taskForwarding.ts
@@ -71,7 +71,7 @@
       }
       try {
         // The routing tables may have become stale during the wait, or the process may have been suspended.
-        if (!routingState.fresh() || abort.aborted) break;
+        if (!routingState.isFresh() || abort.aborted) break;
         const end = await this.#attempt(granted);
         const forwarded = this.#judge(end, granted);
         if (forwarded !== undefined) return forwarded;
--- a/programs/proxy/src/updates/routingState.ts
+++ b/programs/proxy/src/updates/routingState.ts
@@ -77,11 +77,6 @@
     return this.#freshness.isFresh(this.#tables.configuration, this.#tables.version);
   }
 
-  /** The earlier name of `isFresh`, until the forwarding folder calls it by the new one. */
-  fresh(): boolean {
-    return this.isFresh();
-  }
-
   /** Applies the updates that are newer than what is held, and derives the tables anew where they may have changed. */
   apply(updates: readonly Update[]): void {
     const applied: Update[] = [];
